--- a/src/ebonystile/core/control/__init__.py
+++ b/src/ebonystile/core/control/__init__.py
@@ -1,1 +1,1 @@
-"""What processes believe: configuration, membership and how both spread."""
+"""The configuration, the membership, and their distribution among the processes."""
--- a/src/ebonystile/core/placing/__init__.py
+++ b/src/ebonystile/core/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream gets new work: ranking, load, suspicion, placement."""
+"""Placement of new flows: ranking, load reports, suspicion, policies."""
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -1,4 +1,4 @@
-"""Hold what a sidecar knows and decides by about load: its policy, siblings, ramp and suspicion."""
+"""The load-balancing state of a sidecar: policy, siblings' loads, ramp and suspicion."""
 
 import dataclasses
 
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """How a sidecar spreads opens and bounds its upstream. Times are in ms.
+    """How a sidecar distributes opens and limits its upstream. Times are in ms.
 
-    Reports go out each `report_every`, and after a change of work by `report_step` no sooner than
-    `report_least` after the last, to `report_fanout` siblings; one older than `stale_after` does
-    not count. An open is passed on at most `passes` times. A fresh upstream gets its whole weight
-    after `ramp`.
+    Load reports go to `report_fanout` siblings every `report_every`, and after a change of work by
+    `report_step` as soon as `report_least` has passed since the last; a report older than
+    `stale_after` is ignored. An open is passed on at most `passes` times. A new upstream has its
+    whole weight after `ramp`.
     """
 
     placing: placement.Policy = placement.PowerOfTwo()
@@ -37,7 +37,7 @@
 
 
 class Balance:
-    """The load of one sidecar's upstream and of its siblings, as far as it is known."""
+    """What a sidecar knows of the load of its own upstream and of its siblings."""
 
     def __init__(self, policy: Policy, now: int):
         self.policy = policy
@@ -53,14 +53,14 @@
         self.suspicion = suspicion.Suspicion(policy.suspecting)
 
     def ramp_at(self, name: str, now: int) -> int:
-        """Return the upstream's ramp after its start, its cold spell or its last suspicion."""
+        """Return the upstream's share of its weight after a start, a cold phase or a suspicion."""
         returned = self.suspicion.ramp(name, now, self.policy.ramp)
         return min(self.ramp.at(now), returned)
 
     def report_of(
         self, name: str, incarnation: int, zone: str, slots: limits.Limiter, flows: int, now: int
     ) -> messages.LoadReport:
-        """Return what is observed of the upstream, but for its limit of flows and its leaving."""
+        """Return the observed load; `connections` and `leaving` are left for the caller to set."""
         running, queued = len(slots.running), len(slots.queue)
         return messages.LoadReport(
             name=name,
@@ -81,6 +81,6 @@
 
 
 def make_limiter(policy: Policy, slots: int, queue: int) -> limits.Limiter:
-    """Return the limiter of an upstream that runs nothing yet."""
+    """Return the limiter of an upstream that runs no requests yet."""
     bounds = limits.Limits(slots, queue, policy.order, policy.adaptive)
     return limits.Limiter(dataclasses.replace(bounds, return_horizon=policy.return_horizon))
--- a/src/ebonystile/core/placing/load.py
+++ b/src/ebonystile/core/placing/load.py
@@ -1,12 +1,12 @@
-"""Keep what a sidecar knows of the load of its own upstream and of its siblings.
+"""Track the load of a sidecar's own upstream and of its siblings.
 
 A sidecar sends a `LoadReport` to a bounded set of the other sidecars of its service, about once a
-second and sooner when its load has changed by much. What a report says is observed by the sidecar:
-flows that it holds and requests that it runs. The upstream's own word can only add to that
-(`Caution`).
+second and sooner after a large change of its load. A report holds what the sidecar itself observes:
+the flows that it holds and the requests that it runs. Load that the upstream reports can only add
+to that (`Caution`).
 
-Times are milliseconds. A report's age is taken from its arrival by the receiver's clock, so clocks
-that differ between instances do no harm.
+Times are in milliseconds. The age of a report is measured from its arrival by the receiver's clock,
+so it does not depend on synchronized clocks.
 """
 
 import collections
@@ -17,20 +17,21 @@
 from ebonystile.peer import messages
 
 FLIGHT = 20
-"""Sends of the last so many ms before a report are taken as not yet in it (ms)."""
+"""Opens sent within this time (ms) before a report arrived are assumed to be missing from it."""
 
 MAX_SIBLINGS = 256
-"""Most siblings remembered; reports of further ones are dropped."""
+"""Siblings kept in a table; reports of further ones are dropped."""
 
 MAX_SENT = 1024
-"""Most own sends remembered for one sibling."""
+"""Opens remembered as sent to one sibling."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Standing:
-    """How an upstream compares with others if it got one more flow now.
+    """The load of an upstream, as compared with others, if it were given one more flow.
 
-    `work` is requests per slot with the new one, `flows` held per slot, `age` that of the report.
+    `work` is requests per slot and `flows` is flows per slot, both with the new flow counted in;
+    `age` is the age of the report (ms).
     """
 
     name: str
@@ -44,7 +45,7 @@
 
 
 def standing(load: messages.LoadReport, sent: int = 0, age: int = 0) -> Standing:
-    """Return how the load compares, `sent` more opens counted in."""
+    """Return the load as it compares with others, with `sent` more opens counted in."""
     return Standing(
         load.name,
         load.zone,
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Sibling:
-    """A sibling's last report, when it came, and when this sidecar passed opens to it since."""
+    """A sibling's last report, its time of arrival, and the times of the opens sent since then."""
 
     load: messages.LoadReport
     received: int
@@ -69,10 +70,10 @@
 class LoadTable:
     """The last reports of the siblings, and the opens passed to each of them since.
 
-    Between two reports every sidecar would see the same least loaded sibling and send it all opens
-    (a herd: its queue fills while others idle). Own sends count as load until a later report can
-    contain them, which bounds what one sidecar sends on one report; the clear-gap rule in
-    `placement` bounds what all of them send together.
+    Between two reports all sidecars see the same least loaded sibling and could send it all opens
+    (herding). Opens that this sidecar sent count as load until a later report can contain them,
+    which bounds how many it sends on the basis of one report; the minimum gap in `placement` bounds
+    how many all sidecars send together.
     """
 
     def __init__(self, stale_after: int = 3000, limit: int = MAX_SIBLINGS):
@@ -81,9 +82,9 @@
         self.siblings: dict[str, Sibling] = {}
 
     def report(self, load: messages.LoadReport, now: int) -> bool:
-        """Take a sibling's report; tell whether it was news.
+        """Store a sibling's report; return whether it is newer than the stored one.
 
-        A report that was overtaken by a later one of the same incarnation is dropped, so that a
+        A report that arrives after a later one of the same incarnation is dropped, so that a
         delayed datagram cannot make a busy sibling look idle.
         """
         known = self.siblings.get(load.name)
@@ -101,15 +102,15 @@
         return True
 
     def sent(self, name: str, now: int) -> None:
-        """Count an open that was passed to the sibling."""
+        """Record an open that was passed to the sibling."""
         if name in self.siblings:
             self.siblings[name].sent.append(now)
 
     def standing(self, name: str, now: int) -> Standing | None:
-        """Return how the sibling compares, or None if nothing fresh is known of it.
+        """Return the sibling's load, or None if it is unknown or its report is too old.
 
-        A frozen sidecar goes on looking as idle as in its last report, so a report counts for
-        `stale_after` ms only.
+        A report is valid for `stale_after` ms only: a frozen sidecar would otherwise keep looking
+        as idle as in its last report.
         """
         known = self.siblings.get(name)
         if known is None or now - known.received > self.stale_after:
@@ -117,21 +118,21 @@
         return standing(known.load, len(known.sent), now - known.received)
 
     def known_leaving(self, name: str) -> bool:
-        """Tell whether the sibling's last word was that it leaves."""
+        """Return whether the sibling's last report says that it is leaving."""
         known = self.siblings.get(name)
         return known is not None and known.load.leaving
 
     def keep(self, names: typing.Container[str]) -> None:
-        """Forget every sibling that is not among `names`."""
+        """Remove every sibling that is not in `names`."""
         self.siblings = {n: s for n, s in self.siblings.items() if n in names}
 
 
 class Reporter:
-    """Decide when a sidecar reports its load, and to whom.
+    """Decide when a sidecar reports its load, and to which siblings.
 
-    A report each `every` ms is the floor. With requests shorter than that, a table that old sends
-    work to siblings that have long been busy, so a change of work by `step` is told at once, but
-    no sooner than `least` ms after the last report, which bounds the control traffic.
+    A report is due at least every `every` ms. Where requests are shorter than that, a report of
+    that age no longer shows which siblings are busy, so a change of work by `step` is reported
+    earlier, but no sooner than `least` ms after the last report, which bounds the control traffic.
     """
 
     def __init__(self, every: int = 1000, least: int = 100, step: int = 2, fanout: int = 8):
@@ -142,12 +143,12 @@
         self.last: messages.LoadReport | None = None
 
     def ready(self, now: int, leaving: bool) -> bool:
-        """Tell whether a report can be due at all, before the load is worked out."""
+        """Return whether a report can be due, which avoids computing the load if it cannot."""
         last = self.last
         return last is None or now - last.at >= self.least or leaving != last.leaving
 
     def due(self, load: messages.LoadReport, now: int) -> bool:
-        """Tell whether `load` is to be reported now; the caller then sends it."""
+        """Return whether `load` is to be reported now; if so, record it as the last report."""
         last = self.last
         if last is not None:
             waited = now - last.at
@@ -163,9 +164,9 @@
     ) -> list[view.Endpoint]:
         """Return at most `fanout` siblings to report to.
 
-        Siblings stand in a ring by their keys; each reports to those 1, 2, 4, 8, ... places on.
-        So everyone hears from as many as it tells, all agree without talking, and an overload
-        spreads over a service of any size within a few steps.
+        Siblings form a ring in the order of their keys; each reports to those 1, 2, 4, 8, ...
+        places further on. So each sidecar receives as many reports as it sends, without any
+        coordination, and an overload spreads over a service of any size within a few steps.
         """
         ring = sorted((s for s in siblings if s.key != own_key), key=lambda s: s.key)
         if len(ring) <= self.fanout:
@@ -178,7 +179,7 @@
 
 
 class Fresh:
-    """Count the flows opened within the last `window` ms that have not sent a request yet."""
+    """Count the flows opened within the last `window` ms that have sent no request yet."""
 
     def __init__(self, window: int = 200, limit: int = 4096):
         self.window = window
@@ -186,16 +187,16 @@
         self.opened: dict[bytes, int] = {}
 
     def open(self, flow: bytes, now: int) -> None:
-        """Note a flow that was just opened."""
+        """Add a flow that was just opened."""
         if len(self.opened) < self.limit:
             self.opened.setdefault(flow, now)
 
     def request(self, flow: bytes) -> None:
-        """Note that the flow has sent a request, which is counted from now on."""
+        """Remove a flow that has sent a request; the request itself counts as work from now on."""
         self.opened.pop(flow, None)
 
     def count(self, now: int) -> int:
-        """Return the number of such flows."""
+        """Return the number of flows in the window, after removing those that have left it."""
         while self.opened:
             flow, at = next(iter(self.opened.items()))
             if now - at <= self.window:
@@ -205,12 +206,12 @@
 
 
 class Caution:
-    """Turn the load that an upstream claims for itself into caution, never into trust.
+    """Let the load that an upstream reports for itself raise, but never lower, the observed load.
 
-    An upstream that claims to be idle gets no more work for it. One that claims to be busy counts
-    as busier than observed, by at most its slots: a liar can lose work, not the service. A claim
-    that has not changed for `frozen_after` ms is from a frozen report and is ignored, else one bad
-    reading would starve an upstream for ever.
+    An upstream that reports itself idle gets no additional work. One that reports itself busy
+    counts as busier than observed, by at most its slots, so a wrong report can only reduce its own
+    share. A value that has not changed for `frozen_after` ms is ignored, so that one stuck reading
+    cannot starve an upstream for good.
     """
 
     def __init__(self, frozen_after: int = 30_000):
@@ -219,13 +220,13 @@
         self.changed_at: int | None = None
 
     def claim(self, work: int, now: int) -> None:
-        """Take the number of requests that the upstream claims to have."""
+        """Set the number of requests that the upstream reports."""
         if self.changed_at is None or work != self.claimed:
             self.claimed = work
             self.changed_at = now
 
     def extra(self, observed: int, slots: int, now: int) -> int:
-        """Return the work to add to what is observed."""
+        """Return the number of requests to add to the observed ones."""
         if self.changed_at is None or now - self.changed_at > self.frozen_after:
             return 0
         return max(0, min(self.claimed - observed, slots))
@@ -233,14 +234,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ramp:
-    """Let an upstream's weight grow from `start` at `since` to the whole after `length` ms."""
+    """Slow start: the weight grows linearly from `start` at `since` to the whole in `length` ms."""
 
     since: int
     length: int = 30_000
     start: int = 250
 
     def at(self, now: int) -> int:
-        """Return the share of the weight now, in thousandths."""
+        """Return the share of the weight at `now`, in thousandths."""
         if self.length <= 0 or now >= self.since + self.length:
             return messages.FULL_RAMP
         passed = max(0, now - self.since)
--- a/src/ebonystile/core/placing/placement.py
+++ b/src/ebonystile/core/placing/placement.py
@@ -1,8 +1,7 @@
-"""Decide whether a sidecar keeps an open or passes it, once, to a sibling.
+"""Decide whether a sidecar keeps an open or passes it to a sibling.
 
-A balancer sends an open to its place in the flow's ranking, as it knows no loads. The sidecar that
-gets it knows its own load exactly and its siblings' by recent report. `choose` is dispatched on
-the policy, so that all of them can be compared on the same arrivals (`benches/policy.py`).
+A balancer knows no loads and sends an open to an upstream by the flow's ranking alone. The sidecar
+that receives it knows its own load exactly and that of its siblings from recent reports.
 """
 
 import dataclasses
@@ -17,17 +16,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeepHome:
-    """Keep every open where the ranking put it: rendezvous hashing alone."""
+    """Keep every open where the ranking placed it: rendezvous hashing alone."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Anywhere:
-    """Pass to any upstream by chance: a baseline."""
+    """Choose any upstream at random; a baseline for comparisons."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BoundedLoads:
-    """Walk the ranking to the first upstream below `factor` times the mean work.
+    """Take the first upstream of the ranking whose work is at most `factor` times the mean.
 
     Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA 2018.
     """
@@ -37,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PowerOfTwo:
-    """Compare the own load with that of `candidates` siblings taken by chance.
+    """Compare the own load with that of `candidates` randomly chosen siblings.
 
     Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001. An open
-    is passed only over a clear gap: `gap` requests per slot, or, where the work is no worse, a
-    share `flow_gap` of the flows held. What a report says beyond the mean fades with its age, with
-    a time constant of `fade` times the recent request time, as after Dahlin, "Interpreting Stale
-    Load Information", IEEE TPDS 2000: a queue that was short a while ago is likely short no more.
+    is passed on only if the difference is at least `gap` requests per slot or, where the sibling
+    has no more work, a share `flow_gap` of the flows held. A reported load decays towards the mean
+    with the age of its report, with a time constant of `fade` times the recent latency of requests:
+    see Dahlin, "Interpreting Stale Load Information", IEEE TPDS 2000.
     """
 
     candidates: int = 2
@@ -54,15 +53,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastOfAll:
-    """Pass to the least loaded of all known siblings, however small the gap."""
+    """Choose the least loaded of all known siblings, however small the difference."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lexicographic:
-    """Of the siblings that are not among the busiest, pass to the fastest.
+    """Choose the upstream of least latency among those that are not the busiest.
 
-    After Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024:
-    above the quantile `hot` of running work the least loaded wins, below it the least latency.
+    Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024: if all
+    candidates are at or above the quantile `hot` of work, the least loaded one is chosen, otherwise
+    the one of least latency below it.
     """
 
     candidates: int = 3
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scene:
-    """What there is to choose from: the own upstream, and the siblings that may take the flow."""
+    """What a policy chooses from: the own upstream and the siblings that may take the flow."""
 
     flow: bytes
     own: load.Standing
@@ -92,16 +92,17 @@
     now: int,
     chance: rng.Rng,
 ) -> str | None:
-    """Return the name of the sibling that is to take the open, or None to keep it.
+    """Return the name of the sibling that the open is passed to, or None to keep it.
 
-    `siblings` are the other accepting upstreams of the service by the view. A sidecar that leaves,
-    is full or whose upstream is suspected passes to any that has room, gap or not.
+    `siblings` are the other upstreams of the service that the view shows as accepting. A sidecar
+    that is leaving or full, or whose upstream is suspected, passes the open to any sibling with
+    room, whatever the difference in load.
     """
     endpoints = [e for e in siblings if not table.known_leaving(e.name)]
     known = [s for e in endpoints if (s := table.standing(e.name, now)) is not None]
     scene = Scene(flow, load.standing(own), own.zone, _usable(known), endpoints)
     if scene.own.room and not (own.suspected and scene.siblings):
-        # A cold upstream needs a little work to get warm: one request at a time.
+        # A cold upstream needs some work to warm up: one request at a time.
         if own.work == 0 and own.ramp < messages.FULL_RAMP:
             return None
         return decide(policy, scene, chance)
@@ -114,7 +115,7 @@
 
 
 def _usable(known: list[load.Standing]) -> list[load.Standing]:
-    """Return the siblings that may take a flow, the suspected ones only in a panic."""
+    """Return the siblings with room; suspected ones only in panic mode."""
     roomy = [s for s in known if s.room]
     trusted = [s for s in roomy if not s.suspected]
     suspected = sum(1 for s in known if s.suspected)
@@ -128,7 +129,7 @@
 
 
 def _faded(scene: Scene, some: list[load.Standing], fade: float) -> list[load.Standing]:
-    """Move the work of each towards the mean of all by the age of its report."""
+    """Return the candidates, the work of each moved towards the mean by the age of its report."""
     constant = fade * scene.own.latency
     if constant <= 0 or not some:
         return some
@@ -141,7 +142,7 @@
 
 @functools.singledispatch
 def decide(policy: typing.Any, scene: Scene, chance: rng.Rng) -> str | None:
-    """Return the sibling that the policy prefers to the own upstream, or None."""
+    """Return the name of the sibling that the policy prefers to the own upstream, or None."""
     raise TypeError(f"no such placement policy: {policy!r}")
 
 
@@ -172,7 +173,7 @@
     some = _faded(scene, _some(scene, policy.candidates, chance), policy.fade)
     if not some:
         return None
-    # The zone decides between equals only, so that it never costs balance.
+    # The zone is a tie-breaker only, so that it never causes imbalance.
     best = min(some, key=lambda s: (s.work, s.zone != scene.zone, s.flows))
     if scene.own.work - best.work >= policy.gap:
         return best.name
--- a/src/ebonystile/core/placing/suspicion.py
+++ b/src/ebonystile/core/placing/suspicion.py
@@ -1,10 +1,10 @@
-"""Suspect those that fail, passively, and let them return carefully.
+"""Detect failing peers passively (outlier detection) and let them return gradually.
 
-What a process sees of its own traffic comes first: nobody is probed who is not suspected. A
-suspected peer is left alone for a while, then probed, at most `probes` at a time over all peers;
-`returns` good probes in a row end the suspicion and start a ramp. Each suspicion soon after the
-last doubles the time that the peer is left alone (route flap damping, RFC 2439), so that one that
-comes and goes settles on gone. Times are milliseconds.
+Failures are detected in real traffic; only suspected peers are probed. A suspected peer gets no
+traffic for a hold time and is then probed, with at most `probes` probes under way over all peers;
+`returns` successful probes in a row end the suspicion and start a ramp. Each suspicion soon after
+the last one doubles the hold time (route flap damping, RFC 2439), so a flapping peer stays out of
+use. Times are in milliseconds.
 """
 
 import collections
@@ -15,29 +15,29 @@
 from ebonystile.peer import messages
 
 MAX_PEERS = 4096
-"""Most peers on which a record is kept; a record exists only for those that failed of late."""
+"""Peers with a record; only peers that failed recently have one."""
 
 
 PANIC = 0.5
-"""If more than this share of those to choose from is suspected, suspicion is ignored."""
+"""Share of the known peers; if more are suspected, suspicion is ignored."""
 
 
 def is_panic(suspected: int, known: int) -> bool:
-    """Tell whether so many are suspected that all are to be used as if none were.
+    """Return whether so many peers are suspected that suspicion is to be ignored (panic mode).
 
-    If most are suspected, either the cause is not with them or nobody else is left to do the work:
-    leaving them out would bring the others down and turn a brown-out into an outage.
+    If most peers fail, the cause is probably elsewhere, or the rest cannot carry the load: leaving
+    the suspected ones out would overload the others and turn a brown-out into an outage.
     """
     return suspected > PANIC * known
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rules:
-    """When to suspect and when to forgive.
+    """When a peer becomes suspected, and for how long.
 
-    `failures` in a row, or a share of `share` among the last `window` results, make a suspicion.
-    It lasts `hold` ms at first, doubled by each further one up to `longest`, and a time of `calm`
-    ms without one halves it again.
+    A peer is suspected after `failures` failures in a row, or a share `share` of failures among
+    the last `window` results. The hold time is `hold` ms at first, doubles with each further
+    suspicion up to `longest` ms, and halves again with each `calm` ms without one.
     """
 
     failures: int = 3
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """What is remembered of one peer that has failed of late."""
+    """The record of a peer that failed recently."""
 
     results: collections.deque[bool]
     in_a_row: int = 0
@@ -66,14 +66,14 @@
 
 
 class Suspicion:
-    """Passive suspicion of a set of peers, told apart by name."""
+    """The suspicion of a set of peers, by name."""
 
     def __init__(self, rules: Rules):
         self.rules = rules
         self.peers: dict[str, Peer] = {}
 
     def succeeded(self, name: str, now: int) -> None:
-        """Note a good result of real traffic."""
+        """Record a success in real traffic."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -82,7 +82,7 @@
         self.calm_down(name, peer, now)
 
     def failed(self, name: str, now: int) -> bool:
-        """Note a bad result; tell whether it made a suspicion."""
+        """Record a failure in real traffic; return whether the peer is suspected because of it."""
         peer = self.peers.get(name)
         if peer is None:
             if len(self.peers) >= MAX_PEERS:
@@ -97,7 +97,7 @@
         return True
 
     def bad(self, peer: Peer) -> bool:
-        """Tell whether the peer's results call for suspicion."""
+        """Return whether the peer's results exceed the failure limits."""
         if peer.in_a_row >= self.rules.failures:
             return True
         failures = sum(1 for good in peer.results if not good)
@@ -107,7 +107,7 @@
         )
 
     def suspect(self, peer: Peer, now: int) -> None:
-        """Leave the peer alone for a time that doubles with each flap."""
+        """Suspect the peer for a hold time that doubles with each flap."""
         peer.flaps = max(0, peer.flaps - (now - peer.touched) // self.rules.calm)
         held = min(self.rules.hold << min(peer.flaps, 16), self.rules.longest)
         peer.suspected_until = now + held
@@ -119,20 +119,20 @@
         peer.results.clear()
 
     def calm_down(self, name: str, peer: Peer, now: int) -> None:
-        """Forget a peer that has been good for long enough."""
+        """Remove the record of a peer that has had no failure for long enough."""
         if peer.suspected_until is None and now - peer.touched > self.rules.calm * (peer.flaps + 1):
             del self.peers[name]
 
     def suspected(self, name: str) -> bool:
-        """Tell whether the peer is suspected now; only good probes end that."""
+        """Return whether the peer is suspected; only successful probes end a suspicion."""
         peer = self.peers.get(name)
         return peer is not None and peer.suspected_until is not None
 
     def due_probes(self, now: int) -> list[str]:
-        """Return whom to probe now; the owner reports each by `probed`.
+        """Return the names of the peers to probe now; each result is to be passed to `probed`.
 
-        A probe without a result counts as failed after `probe_timeout`. Those longest overdue come
-        first, and no more than `probes` are out at a time however many are suspected.
+        A probe without a result counts as failed after `probe_timeout` ms. The longest overdue
+        peers come first, and at most `probes` probes are under way at a time.
         """
         for peer in self.peers.values():
             if peer.probe_until is not None and peer.probe_until <= now:
@@ -151,7 +151,7 @@
         return chosen
 
     def probed(self, name: str, good: bool, now: int) -> bool:
-        """Note the result of a probe; tell whether it ended the suspicion."""
+        """Record the result of a probe; return whether it ended the suspicion."""
         peer = self.peers.get(name)
         if peer is None or peer.suspected_until is None:
             return False
@@ -170,19 +170,19 @@
         return True
 
     def probe_failed(self, peer: Peer, now: int) -> None:
-        """Leave the peer alone again, for as long as before."""
+        """Start the hold time again, as long as the last one."""
         peer.probe_until = None
         peer.good_probes = 0
         held = min(self.rules.hold << min(max(peer.flaps - 1, 0), 16), self.rules.longest)
         peer.suspected_until = now + held
 
     def ramp(self, name: str, now: int, length: int) -> int:
-        """Return the share of its weight, in thousandths, that a peer may get after its return."""
+        """Return the share of its weight, in thousandths, that a peer gets after a suspicion."""
         peer = self.peers.get(name)
         if peer is None or peer.returned is None:
             return messages.FULL_RAMP
         return load.Ramp(peer.returned, length).at(now)
 
     def keep(self, names: typing.Container[str]) -> None:
-        """Forget the peers that are not among `names`."""
+        """Remove the records of peers that are not in `names`."""
         self.peers = {n: p for n, p in self.peers.items() if n in names}
