--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -1,25 +1,25 @@
-"""Let a process that starts, or wakes from a pause, act only once its view is up to date.
+"""Keep a process from using its view after a start or a pause until the view is up to date.
 
-It asks the platform and several peers at once and takes the highest revision of all:
+The process asks the platform and several peers at once and takes the highest revision:
 
-- platform down: the peers' answer is enough, from one that has caught up itself;
-- platform stale, or answering an older revision: the peers' higher revision is taken;
-- every peer behind: the platform's higher revision is taken, and spread;
-- alone: the platform's answer is enough once the peers had their time to answer;
-- neither answers: the process does not serve, and asks again.
+- platform down: the answer of one peer that has itself caught up is enough;
+- platform answers an older revision than the peers: the peers' revision is taken;
+- all peers behind the platform: the platform's revision is taken and distributed;
+- no peers: the platform's answer is enough once the peers' time to answer is over;
+- no answer at all: the process does not serve, and asks again.
 """
 
 from ebonystile.core.control import membership, probing, spread_state, watching
 from ebonystile.peer import control
 
 PEERS_ASKED = 3
-"""Random peers asked beside the seeds."""
+"""Random peers asked in addition to the seeds."""
 
 SEEDS_ASKED = 4
 
 
 def begin(spread: spread_state.Spread, now: int, rounds: int = 0) -> None:
-    """Ask the platform and several peers; nothing is acted on until `finish`."""
+    """Ask the platform and several peers; the view is not used until `finish`."""
     catch_up = spread_state.CatchUp(now + spread.limits.start_bound, rounds=rounds)
     spread.catch_up = catch_up
     for stream in spread.streams.values():
@@ -37,7 +37,7 @@
 
 
 def on_beat(spread: spread_state.Spread, beat: control.Beat) -> None:
-    """Count the answer of a peer; one that is catching up itself proves nothing."""
+    """Count the answer of a peer, unless that peer is itself catching up."""
     catch_up = spread.catch_up
     if catch_up is None or catch_up.asked.pop(beat.answers, None) is None:
         return
@@ -47,16 +47,17 @@
 
 
 def on_platform(spread: spread_state.Spread, stream: str, answered: bool) -> None:
-    """Note that the platform has answered for a stream, or has failed to."""
+    """Record whether the platform answered for a stream."""
     if spread.catch_up is not None:
         spread.catch_up.platform[stream] = answered
 
 
 def on_tick(spread: spread_state.Spread, now: int) -> None:
-    """Finish once there is enough, or start another round.
+    """Finish once there are enough answers, or start another round.
 
-    While a peer that answers shows more than this process has got, it does not act: callers may
-    have seen the newer configuration. A peer that dies meanwhile doesn't answer the next round.
+    The process goes on waiting while a peer that answered is ahead, since callers may already
+    depend on the newer configuration. A peer that dies does not answer the next round, so it
+    cannot block the process for good.
     """
     catch_up = spread.catch_up
     if catch_up is None:
@@ -77,7 +78,7 @@
 
 
 def finish(spread: spread_state.Spread, by_platform: bool) -> None:
-    """Act on the view from now on."""
+    """End catch-up; the view is used from now on."""
     digest = spread.configuration.digest
     spread.trace(
         "caught_up",
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -1,23 +1,23 @@
-"""Compare notes with random peers, and find out by the same question who is silent."""
+"""Exchange revisions and membership with random peers, and detect peers that do not answer."""
 
 from ebonystile.core import view
 from ebonystile.core.control import membership, pulling, spread_state
 from ebonystile.peer import control
 
 HELPERS = 3
-"""Peers asked to try one that is silent."""
+"""Peers asked to probe one that does not answer."""
 
 ANYONE_SHARE = 0.2
-"""Share of questions to peers believed dead as well: after a partition these heal the fleet."""
+"""Share of exchanges that may go to peers counted as dead, so that a healed partition rejoins."""
 
 OTHER_ROLE_SHARE = 0.125
-"""Share of a balancer's questions that go to sidecars."""
+"""Share of a balancer's exchanges that go to sidecars."""
 
 SEEDS_SHARE = 0.05
-"""Share of questions to the seeds of the settings, the last bridge after a long partition."""
+"""Share of exchanges with the configured seeds, which reconnect the fleet after long partitions."""
 
 SIDECAR_FACTOR = 4
-"""How many times more seldom sidecars ask: they are many, and nobody learns from them."""
+"""Multiple of the exchange interval for sidecars: they are many and no source of newer state."""
 
 PRUNE_MS = 2_000
 MAX_HELPING = 256
@@ -25,7 +25,7 @@
 
 
 def on_tick(spread: spread_state.Spread, now: int) -> None:
-    """Ask, tell, suspect and forget what is due."""
+    """Do what is due: time out probes, exchange, push a change, prune the membership."""
     for nonce, probe in list(spread.probes.items()):
         if now >= probe.deadline:
             on_silence(spread, nonce, probe, now)
@@ -45,7 +45,7 @@
 
 
 def ask_random(spread: spread_state.Spread, now: int) -> None:
-    """Ask one peer for its beat."""
+    """Send a beat to one random peer and ask for its beat."""
     name = choose(spread)
     if name is None:
         if spread.seeds:
@@ -57,7 +57,7 @@
 
 
 def choose(spread: spread_state.Spread) -> str | None:
-    """Return a peer at random, None for one of the seeds."""
+    """Return the name of a random peer, or None for one of the seeds."""
     draw = spread.randomness.random()
     names = spread.balancers or spread.sidecars
     if spread.is_balancer and spread.sidecars and draw < OTHER_ROLE_SHARE:
@@ -75,7 +75,7 @@
 
 
 def ask(spread: spread_state.Spread, address: view.Address, name: str, now: int) -> int:
-    """Ask for a beat; a peer with a `name` is suspected if it stays silent."""
+    """Send a beat that asks for one; with a `name`, a peer that does not answer is suspected."""
     nonce = spread.new_nonce()
     if name:
         spread.probes[nonce] = spread_state.Probe(name, now + spread.limits.answer)
@@ -87,10 +87,10 @@
 def newer_word(
     spread: spread_state.Spread, name: str, generation: int
 ) -> membership.Statement | None:
-    """Return what is held on a process that goes beyond its own word, if anything.
+    """Return the statement on a process if it overrides that of the process itself, else None.
 
-    A process that is suspected must learn of it to refute, and one whose name another process has
-    taken while it was paused must learn of that to yield.
+    A suspected process must receive it to refute the suspicion, and a process whose name was taken
+    by another one during a pause must receive it to yield.
     """
     statement = spread.membership.statement_of(name)
     if statement is None:
@@ -100,19 +100,19 @@
 
 
 def tell_random(spread: spread_state.Spread) -> None:
-    """Tell a few balancers how far this process is; they pull what they lack."""
+    """Push this process's revisions to a few random balancers, which pull what they lack."""
     for name in pick_usable(spread, spread.limits.fanout, ""):
         spread.send(spread.membership.address_of(name), spread.beat())
 
 
 def pick_usable(spread: spread_state.Spread, count: int, banned: str) -> list[str]:
-    """Return up to `count` balancers at random that may be counted on."""
+    """Return up to `count` random balancers that are usable."""
     names = membership.pick(spread.balancers, 2 * count, spread.randomness, {banned})
     return [name for name in names if spread.membership.usable(name)][:count]
 
 
 def on_silence(spread: spread_state.Spread, nonce: int, probe: spread_state.Probe, now: int):
-    """Have others try a silent peer; suspect it if they fail too."""
+    """Have other peers probe one that did not answer; suspect it if they got no answer either."""
     del spread.probes[nonce]
     if probe.indirect:
         if spread.membership.suspect(probe.name, now):
@@ -132,7 +132,7 @@
 def on_probe_for(
     spread: spread_state.Spread, asker: view.Address, message: control.ProbeFor, now: int
 ) -> None:
-    """Try a process for another; its answer is passed on when it comes."""
+    """Probe a process on behalf of another, which is sent the answer."""
     if len(spread.helping) >= MAX_HELPING:
         return
     spread.helping[message.name] = (asker, now + 2 * spread.limits.answer)
@@ -142,7 +142,7 @@
 def on_beat(
     spread: spread_state.Spread, address: view.Address, beat: control.Beat, now: int
 ) -> None:
-    """Take in what a peer says of itself and others, and answer if it asks."""
+    """Apply a peer's statements on itself and others, and answer if it asks for a beat."""
     sender = control.unpack_statement(beat.sender)
     items = [control.unpack_statement(item) for item in beat.news]
     own_before = spread.membership.own
@@ -171,7 +171,7 @@
     sender: membership.Statement,
     items: list[membership.Statement],
 ) -> None:
-    """End the probes that this beat answers, and pass an answer on to who asked for it."""
+    """End the probes that this beat answers, and relay it to a process that asked for the probe."""
     spread.probes.pop(beat.answers, None)
     alive = {item.name for item in items if item.state < membership.State.SUSPECT}
     alive.add(sender.name)
--- a/src/ebonystile/core/control/pulling.py
+++ b/src/ebonystile/core/control/pulling.py
@@ -1,4 +1,4 @@
-"""Get what a peer shows to have more of, and give peers what they ask for, within a budget."""
+"""Pull updates from peers that are ahead, and answer the pulls of others within a budget."""
 
 import dataclasses
 
@@ -7,29 +7,29 @@
 from ebonystile.peer import control
 
 MAX_AHEAD = 8
-"""Peers remembered that have shown more; any one of them will do."""
+"""Peers remembered as ahead."""
 
 OTHERS = 4
-"""Peers named to one whose pull is refused."""
+"""Other peers named in the refusal of a pull."""
 
 KEY_BYTES = 16
 INSTANCE_BYTES = 30
-"""Bytes of a key and of a listed instance in a packed update, about."""
+"""Approximate size of a key and of a listed instance in a packed update."""
 
 DATAGRAM_ESTIMATE = 4_000
-"""Estimate above which an answer is not even packed to see whether it fits a datagram."""
+"""Estimated size (bytes) above which an answer counts as too large for a datagram."""
 
 FILL_MS = 5_000
-"""How often a process that lacks a document it refused asks for an older value of it, in ms."""
+"""Least time between two pulls for the older values of refused documents, in ms."""
 
 WEBSOCKET_TIMEOUTS = 5
-"""How many times longer than a datagram a websocket may take."""
+"""Timeout of a pull over a websocket, as a multiple of that of a datagram."""
 
 
 def note_ahead(
     spread: spread_state.Spread, address: view.Address, digest: configuration.Digest, now: int
 ) -> None:
-    """Remember that a peer shows more, and pull soon; the jitter spreads the fleet's pulls."""
+    """Remember a peer that is ahead and schedule a pull; jitter spreads the pulls of the fleet."""
     if not spread.configuration.digest.behind(digest):
         spread.ahead.pop(address, None)
         return
@@ -41,7 +41,7 @@
 
 
 def on_tick(spread: spread_state.Spread, now: int) -> None:
-    """Give up the pull that was not answered, and start the one that is due."""
+    """Time out the pull under way and start one that is due."""
     if spread.pull is not None and now >= spread.pull.deadline:
         forget(spread, now)
     if spread.pull is not None or now < spread.pull_at or not spread.ahead:
@@ -55,7 +55,7 @@
 
 
 def fill_in(spread: spread_state.Spread, now: int) -> None:
-    """Ask for the older value of a refused document, which may be in force elsewhere."""
+    """Pull the older value of a refused document, which may be in force in other processes."""
     if spread.pull is not None or now < spread.fill_at or not spread.configuration.incomplete:
         return
     spread.fill_at = now + FILL_MS + spread.jitter(FILL_MS)
@@ -64,7 +64,7 @@
 
 
 def start(spread: spread_state.Spread, address: view.Address, now: int) -> None:
-    """Send a pull; one from scratch is large and goes over a websocket at once."""
+    """Send a pull; the answer to a first one is large, so it goes over a websocket."""
     wanted = spread.configuration.wanted()
     pull = control.make_pull(spread.new_nonce(), wanted)
     deadline = now + spread.limits.pull_timeout
@@ -83,7 +83,7 @@
 
 
 def forget(spread: spread_state.Spread, now: int) -> None:
-    """End the pull under way and turn to another peer that has shown more."""
+    """Drop the pull under way and its peer, and schedule a pull from another peer."""
     spread.ahead.pop(spread.pull.address, None)
     spread.pull = None
     spread.pull_at = now + spread.jitter(spread.limits.pull_jitter)
@@ -95,7 +95,7 @@
     update: configuration.Update,
     now: int,
 ) -> None:
-    """Take in an update. A late one is as good as any: joining cannot revert."""
+    """Apply an update, even a late one: joining never reverts an entry."""
     before = spread.configuration.digest
     changes = spread.configuration.apply(update)
     if changes or spread.configuration.digest != before:
@@ -107,20 +107,20 @@
 
 
 def on_too_large(spread: spread_state.Spread, nonce: int, now: int) -> None:
-    """Ask again over a websocket."""
+    """Repeat the pull over a websocket."""
     if spread.pull is not None and spread.pull.nonce == nonce:
         pull = control.make_pull(nonce, spread.configuration.wanted())
         fetch(spread, spread.pull.address, pull, now)
 
 
 def on_failed(spread: spread_state.Spread, nonce: int, now: int) -> None:
-    """Turn to another peer."""
+    """Drop the failed pull and schedule one from another peer."""
     if spread.pull is not None and spread.pull.nonce == nonce:
         forget(spread, now)
 
 
 def on_busy(spread: spread_state.Spread, busy: control.Busy, now: int) -> None:
-    """Turn to the peers that a busy one names: a process that starts may know only its seeds."""
+    """Turn to the peers named by a busy one; a starting process may know only its seeds."""
     if spread.pull is None or spread.pull.nonce != busy.nonce:
         return
     digest = spread.ahead.get(spread.pull.address)
@@ -132,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prepared:
-    """An answer to a pull that still has to be packed, which any thread may do."""
+    """An answer to a pull, not yet packed; packing may be done in any thread."""
 
     pull: control.Pull
     caught_up: bool
@@ -141,7 +141,7 @@
 
 
 def prepare(spread: spread_state.Spread, pull: control.Pull, now: int) -> Prepared | control.Busy:
-    """Put the answer to a pull together, if the budget allows it."""
+    """Return the answer to a pull, or a refusal if the budget does not allow it."""
     update = spread.configuration.update_for(control.wanted_of(pull))
     size = estimate(update)
     if not spread.update_budget.take(size, now):
@@ -150,14 +150,14 @@
 
 
 def estimate(update: configuration.Update) -> int:
-    """Return about how many bytes an update has when packed: values are compressed already."""
+    """Return the approximate packed size of an update; its values are already compressed."""
     values = sum(KEY_BYTES + len(entry.value or b"") for _, entry in update.values.entries)
     names = len(update.values.names or ()) + len(update.instances.names or ())
     return values + INSTANCE_BYTES * len(update.instances.entries) + KEY_BYTES * names
 
 
 def finish(prepared: Prepared) -> control.UpdateReply:
-    """Pack a prepared answer."""
+    """Return the prepared answer, packed."""
     packed = control.pack_update(prepared.update)
     return control.UpdateReply(
         prepared.pull.nonce, prepared.caught_up, prepared.fresh_as_of, packed
@@ -167,7 +167,7 @@
 def serve(
     spread: spread_state.Spread, pull: control.Pull, now: int
 ) -> control.UpdateReply | control.TooLarge | control.Busy:
-    """Answer a pull that came as a datagram, if the answer fits one."""
+    """Return the answer to a pull that arrived as a datagram, or a refusal if it does not fit."""
     update = spread.configuration.update_for(control.wanted_of(pull))
     if estimate(update) > DATAGRAM_ESTIMATE:
         return control.TooLarge(pull.nonce)
@@ -180,7 +180,7 @@
 
 
 def busy(spread: spread_state.Spread, pull: control.Pull, size: int, now: int) -> control.Busy:
-    """Return the refusal of a pull, with a few others to ask."""
+    """Return the refusal of a pull, with other peers to ask."""
     names = membership.pick(spread.balancers, OTHERS, spread.randomness, set())
     others = (spread.membership.address_of(n) for n in names if spread.membership.usable(n))
     return control.Busy(pull.nonce, spread.update_budget.ready_at(size, now), tuple(others))
--- a/src/ebonystile/core/control/spread.py
+++ b/src/ebonystile/core/control/spread.py
@@ -1,11 +1,12 @@
-"""Bring every process to the newest configuration: `decide(spread, event, now)` gives effects.
-
-A few watchers a zone ask the platform; everyone else learns from peers. Each message between
-processes shows how far its sender is, and whoever is behind pulls from whoever showed more. A
-change is told on at once to a few random peers, and each process compares notes with a random
-peer about once a second, which reaches all in a number of rounds that grows with the logarithm of
-the fleet (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987).
-No clock, socket, thread or global randomness is used here.
+"""Distribute the configuration by gossip: `decide(spread, event, now)` returns effects.
+
+A few watchers in each zone read the platform; all other processes learn changes from peers. Each
+message between processes carries the sender's revisions, and a process that is behind pulls from
+one that is ahead. A change is pushed at once to a few random peers, and each process exchanges
+revisions with a random peer about once a second, so that a change reaches all processes in a number
+of rounds that grows with the logarithm of the fleet (Demers et al., "Epidemic algorithms for
+replicated database maintenance", 1987). The module uses no clock, socket, thread or global
+randomness.
 """
 
 import dataclasses
@@ -27,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; posted about every 100 ms."""
+    """Posted about every 100 ms."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrived:
-    """A sealed control message has been opened."""
+    """A control message arrived and passed its authentication."""
 
     address: view.Address
     message: control.Message
@@ -40,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shown:
-    """A packet of the data path showed its sender's revision, higher than the one known."""
+    """A packet of the data path carried a revision above the known one."""
 
     address: view.Address
     revision: int
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformRead:
-    """The platform answered a watch; with `more` only the first part of what there is."""
+    """The platform answered a watch; `more` if there are further parts to read."""
 
     stream: str
     delta: store.Delta
@@ -57,14 +58,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformFailed:
-    """The platform gave no usable answer."""
+    """A call of the platform failed or gave no usable answer."""
 
     stream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetched:
-    """A pull over a websocket was answered; the update is unpacked already."""
+    """A pull over a websocket was answered; `update` is already unpacked."""
 
     reply: control.UpdateReply | control.Busy
     update: configuration.Update | None = None
@@ -72,14 +73,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchFailed:
-    """A pull over a websocket gave no usable answer."""
+    """A pull over a websocket failed or gave no usable answer."""
 
     nonce: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leave:
-    """The process has been asked to stop."""
+    """The process was asked to stop."""
 
 
 def make_spread(
@@ -92,7 +93,7 @@
     randomness: rng.Rng,
     now: int,
 ) -> spread_state.Spread:
-    """Return the core of a process that starts `now`; it begins to catch up at the first tick."""
+    """Return the state of a process that starts at `now`, with catch-up under way."""
     spread = spread_state.Spread(
         membership.make_membership(name, role, address, zone, now, membership.Limits()),
         configuration.Configuration(),
@@ -112,7 +113,7 @@
 
 
 def decide(spread: spread_state.Spread, event, now: int) -> list[spread_state.Effect]:
-    """Take in one event at time `now` (ms) and return what is to be done, in order."""
+    """Handle one event at time `now` (ms) and return the effects, in order."""
     notice_pause(spread, now)
     on_event(event, spread, now)
     if spread.changed and spread.caught_up:
@@ -124,10 +125,10 @@
 
 
 def notice_pause(spread: spread_state.Spread, now: int) -> None:
-    """Catch up anew after a pause: the view is old, and callers may have seen newer.
+    """Start catch-up after a pause of the process, since its view may be out of date.
 
-    Ticks come every 100 ms in a running process, so a long gap means that it was stopped. What
-    waited meanwhile is void: silent peers may have answered, and were not heard.
+    A running process ticks every 100 ms, so a long gap means that it was stopped. Probes and calls
+    under way are dropped: their answers may have arrived and been lost during the pause.
     """
     gap = now - spread.last_at
     spread.last_at = max(spread.last_at, now)
@@ -147,7 +148,7 @@
 
 @functools.singledispatch
 def on_event(event, spread: spread_state.Spread, now: int) -> None:
-    """Act on one event."""
+    """Handle one event."""
     raise TypeError(f"no rule for {type(event).__name__}")
 
 
@@ -215,7 +216,7 @@
 
 @functools.singledispatch
 def on_message(message, spread: spread_state.Spread, address: view.Address, now: int) -> None:
-    """Act on one message of another process."""
+    """Handle one message of another process."""
     raise TypeError(f"no rule for {type(message).__name__}")
 
 
--- a/src/ebonystile/core/control/spread_state.py
+++ b/src/ebonystile/core/control/spread_state.py
@@ -1,7 +1,7 @@
-"""Hold the state of the core that spreads the configuration, and the steps its parts share.
+"""The state of configuration distribution, and the operations that its modules share.
 
-The parts (`watching`, `pulling`, `probing`, `catching_up`) change this state and append effects;
-`spread.decide` is the only entrance from outside.
+The modules `watching`, `pulling`, `probing` and `catching_up` change this state and append effects;
+`spread.decide` is the only entry point from outside.
 """
 
 import dataclasses
@@ -13,38 +13,40 @@
 from ebonystile.peer import control
 
 SKEW_BOUND = 1_000
-"""Most by which clocks of instances are trusted to differ, in ms.
+"""Largest clock difference between instances that is allowed for, in ms.
 
-A watcher whose clock runs ahead would make its last word look fresh long after it died, and nobody
-would take its place; so no word counts as fresher than now and this bound.
+A confirmation time from a peer is capped at the own time plus this bound: a watcher whose clock
+runs ahead would otherwise seem to confirm the configuration long after it has died, and no other
+process would take over.
 """
 
 ROSTER_MS = 5_000
-"""How often the lists of peers are renewed when something has changed, in ms."""
+"""Least time between two rebuilds of the lists of peers, in ms."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """The bounds of the spread; times are in ms, budgets in bytes.
-
-    exchange: between two questions to random peers.
-    answer: until a peer counts as silent.
-    fanout: peers told at once of a change.
-    rumour_gap, list_rumour_gap: least time between two tellings, and where only the list changed.
-    pull_jitter, pull_timeout: before a pull, and until it is given up.
-    watch, call_margin: wait of one watch of the platform, and how much longer its call may take.
+    """The parameters of configuration distribution; times are in ms, budgets in bytes.
+
+    exchange: interval of the gossip exchange with a random peer.
+    answer: time after which a peer counts as not answering.
+    fanout: peers to which a change is pushed.
+    rumour_gap, list_rumour_gap: least time between two pushes, the latter if only the list of
+    instances has changed.
+    pull_jitter, pull_timeout: largest delay before a pull, and its timeout.
+    watch, call_margin: duration of one watch of the platform, and what its call may take beyond it.
     call_gap, instances_gap: least time between two reads of the values, and of the list.
-    backoff_least, backoff_most: pause after a failed call, doubled each time.
-    stale: age of the platform's last word at which others begin to watch.
-    promotion: how long they do.
-    watchers, watchers_most: per zone, ordinarily and while the platform's word is old.
+    backoff_least, backoff_most: pause after a failed call, doubled with each further failure.
+    stale: age of the platform's last confirmation at which further processes become watchers.
+    promotion: how long such a process stays a watcher.
+    watchers, watchers_most: watchers per zone, normally and while the confirmation is old.
     epoch: how long a choice of watchers lasts.
-    solo_wait: wait of a watch by a process that hears no one.
-    solo_gap, solo_rate: between calls of those beyond `watchers_most` while the platform's word is
-    old, and the most such calls a second of the whole fleet.
-    start_bound: longest wait for the answers before serving.
-    pause_bound: longest gap between events of a process that was not paused.
-    update_rate, update_burst: bytes a second of updates given to others, and at once.
+    solo_wait: duration of a watch by a process that receives nothing from any peer.
+    solo_gap, solo_rate: interval of the calls of processes that are no watchers while the
+    confirmation is old, and the rate of such calls over the whole fleet, per second.
+    start_bound: timeout of one catch-up round.
+    pause_bound: longest gap between two events of a running process; a longer one is a pause.
+    update_rate, update_burst: bytes of updates sent to other processes, per second and at once.
     """
 
     exchange: int = 1_000
@@ -84,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchPlatform:
-    """Ask the platform for what changed after a revision; it may wait for that until then."""
+    """Ask the platform for the changes after a revision, waiting for some until `wait_until`."""
 
     stream: str
     after: int
@@ -93,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetch:
-    """Send a pull to a process over a websocket and post the answer."""
+    """Send a pull to a process over a websocket and post its answer as an event."""
 
     address: view.Address
     pull: control.Pull
@@ -102,12 +104,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """Take the configuration's view: it has changed, or has been confirmed after a pause."""
+    """Use the configuration's current view: it has changed, or was confirmed after a pause."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FellBehind:
-    """Do not act on the view until the next `InForce`: it may be old."""
+    """Stop using the view until the next `InForce`: it may be out of date."""
 
 
 Effect = SendMessage | WatchPlatform | Fetch | InForce | FellBehind | effects.Trace
@@ -115,9 +117,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """The calls for one of the platform's two streams; one at a time.
+    """The state of the calls for one of the platform's two streams, of which one runs at a time.
 
-    `confirmed_at` is when the platform last answered with nothing older than what is known.
+    `confirmed_at` is when the platform last answered with a revision not below the known one.
     """
 
     name: str
@@ -130,7 +132,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PullUnderWay:
-    """The pull that waits for its answer."""
+    """The pull that has been sent and not yet answered."""
 
     nonce: int
     address: view.Address
@@ -139,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """A question to a peer: by whom it should be answered, until when, and asked through whom."""
+    """A probe of the peer `name`, sent directly or by way of other processes (`indirect`)."""
 
     name: str
     deadline: int
@@ -148,7 +150,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CatchUp:
-    """What a process that starts, or wakes from a pause, waits for before it may act."""
+    """The answers that a process collects after a start or a pause before it uses its view."""
 
     until: int
     asked: dict[int, view.Address] = dataclasses.field(default_factory=dict)
@@ -160,7 +162,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Spread:
-    """Everything that one process knows of the configuration and of the other processes."""
+    """The state of configuration distribution in one process."""
 
     membership: membership.Membership
     configuration: configuration.Configuration
@@ -200,20 +202,20 @@
 
     @property
     def caught_up(self) -> bool:
-        """Tell whether this process may act on its view."""
+        """Whether this process may use its view."""
         return self.catch_up is None
 
     @property
     def is_balancer(self) -> bool:
-        """Tell whether this process is one of the balancers."""
+        """Whether this process is a balancer."""
         return self.membership.own.role == "balancer"
 
     def send(self, address: view.Address, message: control.Message) -> None:
-        """Append the effect that sends a message."""
+        """Append an effect that sends a message."""
         self.pending.append(SendMessage(address, message))
 
     def trace(self, event: str, **fields: typing.Any) -> None:
-        """Record an event for logs and the time line."""
+        """Append an effect that records an event for the log and the timeline."""
         self.pending.append(effects.Trace(event, fields=tuple(fields.items())))
 
     def jitter(self, span: int) -> int:
@@ -221,13 +223,13 @@
         return int(self.randomness.random() * span)
 
     def new_nonce(self) -> int:
-        """Return a number that no one guesses, never 0."""
+        """Return a random nonce; never 0, which stands for none."""
         return 1 + self.randomness.randrange(1 << 62)
 
     def beat(
         self, nonce: int = 0, answers: int = 0, first: membership.Statement | None = None
     ) -> control.Beat:
-        """Return a beat with the next news, `first` before it."""
+        """Return a beat with the next membership updates, `first` ahead of them."""
         news = self.membership.take_news()
         if first is not None:
             news = (first, *(n for n in news if n.name != first.name))
@@ -244,14 +246,14 @@
         )
 
     def note_fresh(self, as_of: int, now: int) -> None:
-        """Take in when, by another's word, the platform last confirmed the configuration."""
+        """Take over a peer's time of the platform's last confirmation, capped by `SKEW_BOUND`."""
         as_of = min(as_of, now + SKEW_BOUND)
         self.fresh_as_of = max(self.fresh_as_of, as_of)
         if as_of > self.own_fresh:
             self.others_fresh = max(self.others_fresh, as_of)
 
     def note_changes(self, changes: configuration.Changes, now: int) -> None:
-        """Pass on what an update changed: to the shell, to the peers, to the time line."""
+        """Apply changes to the membership and the view, and schedule a push to peers."""
         for refusal in changes.refusals:
             self.trace(
                 "document_refused",
@@ -270,7 +272,7 @@
         self.rumour_at = min(self.rumour_at or due, due)
 
     def note_members(self, names: typing.Iterable[str]) -> None:
-        """Let what is now known of these processes go into the view."""
+        """Update the view with what the membership knows of these processes."""
         for name in names:
             self.roster_stale = True
             before = self.configuration.said.get(name)
@@ -280,7 +282,7 @@
                 self.changed = True
 
     def refresh_roster(self, now: int) -> None:
-        """Renew the lists of peers by role, seldom: it visits every instance."""
+        """Rebuild the lists of peers by role; not often, as it visits every instance."""
         if not self.roster_stale or now < self.roster_at:
             return
         self.roster_stale = False
@@ -293,5 +295,5 @@
 
 
 def digest_of(beat: control.Beat) -> configuration.Digest:
-    """Return how far the sender of a beat is."""
+    """Return the revisions up to which the sender of a beat is complete."""
     return configuration.Digest(beat.values, beat.instances)
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -1,10 +1,11 @@
-"""Choose who asks the platform, and ask it.
-
-Rendezvous hashing over the known balancers of a zone and a slowly changing epoch names the
-watchers; no election is held, and two processes that disagree watch both, which is harmless. The
-platform's last word ("fresh as of") travels on every beat. Where it grows old, more processes
-begin to watch, by rank and with jitter: twice as many each `stale` ms, up to a bound, so that dead,
-stalled or cut-off watchers are replaced but an outage of the platform brings no storm of calls.
+"""Choose the processes that watch the platform, and schedule their calls.
+
+The watchers of a zone are chosen by rendezvous hashing of its known balancers with a slowly
+changing epoch. There is no election; where two processes disagree, both watch, which is harmless.
+Every beat carries the time of the platform's last confirmation (`fresh_as_of`). As it grows old,
+more processes become watchers, by rank and with jitter: twice as many every `stale` ms, up to a
+bound. This replaces watchers that are dead, stalled or partitioned, without a storm of calls during
+an outage of the platform.
 """
 
 import math
@@ -18,7 +19,7 @@
 
 
 def rank_of_self(spread: spread_state.Spread, now: int) -> int:
-    """Return how many balancers of the zone come before this process in this epoch."""
+    """Return the number of balancers of the zone that rank above this process in this epoch."""
     if now < spread.rank_at:
         return spread.rank
     epoch = now // spread.limits.epoch
@@ -33,20 +34,20 @@
 
 
 def weight(name: str, epoch: int) -> int:
-    """Return the weight of a process among the watchers of an epoch."""
+    """Return the hash weight of a process in an epoch."""
     return xxhash.xxh3_64_intdigest(name.encode(), seed=epoch)
 
 
 def may_watch(spread: spread_state.Spread) -> bool:
-    """Tell whether this process may watch at all: sidecars only where no balancer is known."""
+    """Return whether this process may be a watcher: sidecars only if no balancer is known."""
     return spread.is_balancer or not spread.balancers
 
 
 def on_tick(spread: spread_state.Spread, now: int) -> None:
-    """Start the calls that are due."""
+    """Time out old calls and start those that are due."""
     for stream in spread.streams.values():
         if stream.calling_until and now >= stream.calling_until:
-            # The call outlived its bound: a stalled executor must not end the watching for good.
+            # The shell reported no result in time: a stalled executor must not stop all calls.
             on_failed(spread, stream.name, now)
     wait = duty(spread, now)
     if wait is None:
@@ -60,7 +61,7 @@
 
 
 def duty(spread: spread_state.Spread, now: int) -> int | None:
-    """Return how long this process's calls should wait for news (ms), None for no calls."""
+    """Return how long calls by this process should wait for changes (ms), or None for no calls."""
     limits = spread.limits
     if spread.catch_up is not None:
         return 0
@@ -86,7 +87,7 @@
 
 
 def patience(spread: spread_state.Spread, rank: int) -> float:
-    """Return the age of the platform's word (ms) at which the process of this rank steps in."""
+    """Return the age of the last confirmation (ms) at which a process of this rank takes over."""
     limits = spread.limits
     if rank >= limits.watchers_most:
         return math.inf
@@ -94,13 +95,13 @@
 
 
 def solo_gap(spread: spread_state.Spread) -> int:
-    """Return the gap between calls of one process (ms) that keeps the fleet's rate bounded."""
+    """Return the least interval of one process's calls (ms) that keeps to the fleet's rate."""
     fleet = len(spread.balancers) + len(spread.sidecars) + 1
     return max(spread.limits.solo_gap, fleet * 1000 // spread.limits.solo_rate)
 
 
 def call(spread: spread_state.Spread, stream: spread_state.Stream, wait: int, now: int) -> None:
-    """Ask the platform for what follows the revision known."""
+    """Ask the platform for the changes after the known revision."""
     stream.called_at = now
     stream.calling_until = now + wait + spread.limits.call_margin
     spread.pending.append(
@@ -109,7 +110,7 @@
 
 
 def known(spread: spread_state.Spread, name: str) -> int:
-    """Return the revision up to which the stream is known."""
+    """Return the revision up to which the stream is complete."""
     digest = spread.configuration.digest
     return digest.values if name == VALUES else digest.instances
 
@@ -117,10 +118,10 @@
 def on_read(
     spread: spread_state.Spread, name: str, delta: store.Delta, more: bool, now: int
 ) -> None:
-    """Take in an answer; one that is older than what is known counts as a failure.
+    """Handle an answer; one of a revision below the known one counts as a failure.
 
-    A replica that lags would otherwise pass for the platform's word, keep its watcher content and
-    hide that no one sees the newer values any more.
+    It comes from a replica that lags. Counted as a success, it would confirm the configuration
+    although no watcher can read the newer values.
     """
     stream = spread.streams[name]
     if delta.complete < known(spread, name):
@@ -140,7 +141,7 @@
 
 
 def on_failed(spread: spread_state.Spread, name: str, now: int) -> None:
-    """Wait before the next call, twice as long each time, with jitter."""
+    """Delay the next call by exponential backoff with jitter."""
     limits = spread.limits
     stream = spread.streams[name]
     stream.calling_until = 0
