--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -1,7 +1,7 @@
-"""Move flows to another sidecar without a moment at which two of them may run a request.
+"""Hand flows over to other sidecars, so that at most one sidecar may run a flow's requests.
 
-The old home fences the flow first and never again runs anything for it; then it sends the flow to
-one target, again and again under one id, until the target has said yes or surely no.
+The old home first fences the flow: it runs nothing more for it. Then it sends the flow to one
+target and retries under the same transfer id until that target has accepted or refused it.
 """
 
 from ebonystile.caller import messages as caller_messages
@@ -13,17 +13,17 @@
 TRANSFER_ID_BYTES = 16
 
 LEASE_TOLD_AGAIN_MS = 3_500
-"""How often a caller is told of a short lease, in ms: it sends a heartbeat when a third of the
-lease has passed, and a word that comes before that would only put the heartbeat off."""
+"""Shortest interval between two reports of a shortened lease to a caller, in ms. The caller sends
+a heartbeat after a third of the lease, and each report postpones that heartbeat."""
 
 
 def must_move(home: state.State, flow: flows.Flow) -> bool:
-    """Whether the flow lives here but should not any more."""
+    """Return whether the flow's home is here and has to move to another sidecar."""
     return not flow.fenced and (home.leaving != "" or flow.service not in home.serves)
 
 
 def advance(home: state.State, now: int) -> None:
-    """Take every flow that must move a step further."""
+    """Advance every flow that must move by one step."""
     if not home.moving:
         return
     home.moving = False
@@ -40,12 +40,12 @@
 
 
 def fence(home: state.State, flow: flows.Flow, now: int) -> None:
-    """Stop the flow here for good and begin its transfer, once nothing of it runs."""
+    """Stop running requests of the flow and begin its transfer, unless requests are pending."""
     records = home.ledger.of_flow(flow.id)
     if any(entry.state in ledger.PENDING for entry in records):
         return
     if sum(len(entry.body) for entry in records) > home.limits.transfer_bytes:
-        # Too large to be carried; callers fetch their answers here first.
+        # Too large for a transfer until callers have fetched their answers.
         wait_here(home, flow, now)
         return
     target = next_target(home, flow, frozenset(), now)
@@ -54,7 +54,7 @@
         return
     for entry in records:
         if entry.state is ledger.State.RECEIVING:
-            # Nothing was said of it and nothing ran: the caller sends the parts to the new home.
+            # Neither run nor answered: the caller sends the parts again, to the new home.
             requests.forget_parts(home, entry)
             home.ledger.remove(entry)
     flow.handover = flows.Handover(
@@ -67,12 +67,11 @@
 
 
 def wait_here(home: state.State, flow: flows.Flow, now: int) -> None:
-    """Let a flow that must move live on here for a while, as long as its caller wants it.
+    """Keep a flow that no sidecar takes, with a short lease, and offer it again later.
 
-    Where all upstreams of a service are stopped at once nobody takes its flows, and one whose
-    caller has ended without a word, or that a repeated open left behind, kept its sidecar until
-    the supervisor killed it. With a short lease the caller either says that it is there, or is not
-    waited for.
+    If all upstreams of a service stop at once, no sidecar takes its flows. Without the short
+    lease, a flow whose caller has exited without closing it would keep this sidecar running until
+    its supervisor kills it.
     """
     flow.move_at = now + home.limits.successor_retry
     flow.lease_until = min(flow.lease_until, now + home.limits.waiting_lease)
@@ -82,7 +81,7 @@
 
 
 def tell_home(home: state.State, flow: flows.Flow) -> None:
-    """Tell the caller its present token and lease."""
+    """Send the caller the current token and lease of its flow."""
     moved = caller_messages.Moved(flow.id, flow.token, flow.lease_until, flow.answers_for)
     home.tell(flow, moved)
 
@@ -90,10 +89,10 @@
 def next_target(
     home: state.State, flow: flows.Flow, refused: frozenset[int] | set[int], now: int
 ) -> view.Endpoint | None:
-    """Return the lightest sibling that has not refused, else the first in the flow's ranking.
+    """Return the least loaded sibling that has not refused, else the first in the flow's ranking.
 
-    In a night of replacements the ranking alone would give each newcomer only its share of the
-    flows that leave after it, so the first ones would end the night crowded and the last one idle.
+    In a rolling replacement the ranking alone would move most flows to the upstreams that start
+    first and leave the last one idle.
     """
     choices = [u for u in home.siblings(flow.service) if u.key not in refused]
     lightest = siblings.lightest(home, choices, now)
@@ -101,7 +100,7 @@
 
 
 def send(home: state.State, flow: flows.Flow, now: int) -> None:
-    """Send the flow to its target; the first time only ask which incarnation runs there."""
+    """Send the flow to its target, or first a query for the target's incarnation."""
     handover = flow.handover
     if handover.deadline <= now and not handover.committed:
         handover.deadline = now + home.limits.handover_deadline
@@ -112,7 +111,7 @@
 
 
 def content(home: state.State, flow: flows.Flow) -> transfer.Transfer:
-    """Return the flow as its target needs it; only the question if its incarnation is unknown."""
+    """Return the transfer message; a query without records if the incarnation is unknown."""
     handover = flow.handover
     records = ()
     feeds = ()
@@ -136,7 +135,7 @@
 
 
 def record_of(entry: ledger.Entry) -> tuple:
-    """Return a finished record as a transfer carries it."""
+    """Return a finished ledger entry in the form in which a transfer carries it."""
     return (
         entry.request,
         int(entry.state),
@@ -153,7 +152,7 @@
 
 
 def on_answered(home: state.State, event: events.TransferAnswered, now: int) -> None:
-    """Go on with what the target said."""
+    """Process the target's reply to a transfer."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.reply.id:
         return
@@ -166,22 +165,22 @@
         if event.reply.reason:
             try_another(home, flow, now)
         else:
-            # A new id: no late answer to the question can be taken for one to the content.
+            # A new id, so that a late reply to the query does not match the transfer itself.
             handover.id = home.randomness.randbytes(TRANSFER_ID_BYTES)
             handover.deadline = now + home.limits.handover_deadline
             send(home, flow, now)
     elif event.reply.incarnation != handover.incarnation:
-        # Restarted since: what the lost incarnation may have run of the flow, nobody knows.
+        # The target has restarted: it is unknown what its former incarnation ran of the flow.
         lose(home, flow)
     else:
         try_another(home, flow, now)
 
 
 def may_be_lost(home: state.State, handover: flows.Handover, now: int) -> bool:
-    """Whether nobody can say any more if the target has taken the flow.
+    """Return whether it can no longer be found out if the target has accepted the flow.
 
-    Only that target may be asked once the content may have reached it. If it has gone, or does not
-    answer by the deadline, the flow would be held for ever and its caller told nothing.
+    Once the transfer may have reached its target, no other sidecar may be tried. Without this
+    check a target that is gone or silent would leave the flow fenced for ever.
     """
     if not handover.committed:
         return False
@@ -189,10 +188,10 @@
 
 
 def lose(home: state.State, flow: flows.Flow) -> None:
-    """Give a flow up without running anything more for it, so that no second home can arise.
+    """Abandon a handover with an unknown result; the flow stays fenced here.
 
-    Its caller's packets walk on: to the target if that took it, else they learn that the flow is
-    unknown. What the records here say stays true and is still told.
+    The caller's messages are forwarded to other sidecars: to the target if it has accepted the
+    flow, else the caller gets `UnknownFlow`. Requests recorded here are still answered.
     """
     flow.handover = None
     flow.lost = True
@@ -201,7 +200,7 @@
 
 
 def complete(home: state.State, flow: flows.Flow) -> None:
-    """Turn the flow into a signpost to its new home."""
+    """Finish a handover: drop the flow's records and forward its messages to the new home."""
     transfer_id = flow.handover.id
     flow.moved_to = flow.handover.target
     flow.handover = None
@@ -213,11 +212,11 @@
 
 
 def try_another(home: state.State, flow: flows.Flow, now: int) -> None:
-    """Go to the next sibling after one that has refused for good, under a new transfer id.
+    """Offer the flow to the next sibling under a new transfer id, after a final refusal.
 
-    After the last one the flow lives on here until the siblings are asked again: none of them has
-    its content or may take it from this handover. Held all the while, its feed fell silent for as
-    long as every sibling refused, which is for ever where all are leaving.
+    If all siblings have refused, the handover ends and the flow is served here again until the
+    next attempt: none of them holds the flow or may still accept this transfer. A flow that stayed
+    fenced would deliver no feed events while all upstreams of its service are leaving.
     """
     handover = flow.handover
     handover.refused_by.add(handover.target.key)
@@ -236,7 +235,7 @@
 
 
 def on_failed(home: state.State, event: events.TransferFailed, now: int) -> None:
-    """Try again: elsewhere if only the question was sent, else the same target and id."""
+    """Retry after a failed exchange: another target after a query, else the same one and id."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.id:
         return
@@ -249,7 +248,7 @@
 
 
 def on_arrived(home: state.State, event: events.TransferArrived, now: int) -> None:
-    """Take a flow over, or refuse it for good; the same transfer gets the same answer again."""
+    """Accept a flow or refuse it for good; a repeated transfer gets the same reply."""
     message = event.transfer
     accepted = message.id in home.accepted_transfers
     reason = ""
@@ -266,10 +265,10 @@
 
 
 def reason_against(home: state.State, message: transfer.Transfer, now: int) -> str:
-    """Return why the flow cannot be taken, or an empty string.
+    """Return why the flow cannot be accepted, or an empty string.
 
-    What was refused once stays refused: the old home has gone to another sidecar by then, and a
-    copy of the transfer that was held up on the way would make a second home.
+    A refusal is final: the old home may have handed the flow to another sidecar since, and a
+    delayed copy of the transfer would create a second home.
     """
     if message.id in home.refused_transfers:
         return "refused before"
@@ -281,7 +280,7 @@
     if known is None and len(home.flows) >= home.limits.flows:
         return "the flow limit is reached"
     if known is not None and known.handover is not None and not comes_back(known, message):
-        # Its own transfer may yet be taken elsewhere: the flow must not run here again till then.
+        # This sidecar's own transfer may still be accepted elsewhere, so the flow stays fenced.
         return "the flow is on its way elsewhere"
     if home.ledger.full:
         return "the ledger is full"
@@ -289,14 +288,15 @@
 
 
 def comes_back(known: flows.Flow, message: transfer.Transfer) -> bool:
-    """Whether the transfer comes from a home that took the flow over from here."""
+    """Return whether the transfer comes from a home that took the flow over from here."""
     return view.unpack_token(known.token).incarnation in message.answers_for
 
 
 def adopt(home: state.State, message: transfer.Transfer, now: int) -> None:
-    """Become the flow's home; a second home of the same flow that lives here is joined with it.
+    """Become the flow's home, and merge another home of the same flow on this sidecar into it.
 
-    A home that was fenced here is not: it may live elsewhere, and answering for it would make two.
+    A fenced one is not merged: its flow may have another home, whose tokens would then be valid
+    at two sidecars.
     """
     known = home.flows.get(message.flow)
     if known is not None and known.fenced:
@@ -328,7 +328,7 @@
 
 
 def join(flow: flows.Flow, known: flows.Flow) -> None:
-    """Let a flow that was taken over stand for a second home of it as well."""
+    """Merge the tokens, refusal times and feeds of a second home into an accepted flow."""
     flow.answers_for = flows.joined(known.answers_for, flow.answers_for)
     flow.forgotten_before = max(flow.forgotten_before, known.forgotten_before)
     flow.barred_before = max(flow.barred_before, known.barred_before)
@@ -336,7 +336,7 @@
 
 
 def adopt_record(home: state.State, flow: flows.Flow, record: tuple) -> None:
-    """Enter a finished record of the old home."""
+    """Store a finished record of the old home unless the request has one here."""
     request, number, service, deadline, idempotent, keep_until, *outcome = record
     if home.ledger.get(flow.id, request) is not None:
         return
@@ -356,17 +356,17 @@
 
 
 def expire(home: state.State, now: int) -> None:
-    """Forget transfers that no longer matter.
+    """Forget the replies to old transfers.
 
-    A refused one is refused past its deadline anyway. A taken one is remembered for long: the old
-    home, which may be cut off, asks until the deadline by its own clock, and if it then heard a
-    refusal it would go to another sidecar and make a second home.
+    A refused transfer is refused after its deadline anyway. An accepted one is kept for
+    `transfer_memory` longer: an old home that was partitioned or whose clock lags may still retry,
+    and a refusal would make it hand the flow to another sidecar, which would be a second home.
     """
     forget(home.refused_transfers, now)
     forget(home.accepted_transfers, now - home.limits.transfer_memory)
 
 
 def forget(transfers: dict[bytes, int], before: int) -> None:
-    """Forget the transfers whose deadlines came before a time."""
+    """Remove the transfers with a deadline at or before `before` (ms)."""
     for id_ in [i for i, deadline in transfers.items() if deadline <= before]:
         del transfers[id_]
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -1,4 +1,4 @@
-"""Take requests in, run each at most once, and say truthfully what became of it."""
+"""Handle requests at a flow's home: receive parts, run each at most once, report the outcome."""
 
 import functools
 
@@ -8,11 +8,11 @@
 ANSWER_ID_BYTES = 8
 
 RETRY_LEAST = 100
-"""Shortest time, in ms, after which a refused caller is asked to come back."""
+"""Shortest retry delay given to a refused caller, in ms."""
 
 
 def fate(home: state.State, flow: flows.Flow, deadline: int) -> ledger.State | None:
-    """Return what is to be said of a request without a record, or None if it may be taken in."""
+    """Return the final state of a request without a record, or None if it may be accepted."""
     forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)
     if deadline <= forgotten:
         return ledger.State.UNKNOWN
@@ -22,7 +22,7 @@
 
 
 def retry_time(home: state.State, now: int) -> int:
-    """Return when a refused caller should come back, spread so that callers do not in step."""
+    """Return when a refused caller may retry (ms), with jitter against synchronized retries."""
     wait = max(RETRY_LEAST, home.slots.wait(len(home.slots.queue), now))
     return now + int(wait * (1 + home.randomness.random()))
 
@@ -36,12 +36,11 @@
     now: int,
     retry_at: int | None = None,
 ) -> None:
-    """Say for good, at once, that the request was not run, and make sure that it never will be.
+    """Refuse a request for good and send `NotRun` to its caller.
 
-    The tombstone goes in before the word goes out. Without it a copy delayed in the fabric could
-    run after the caller has been told that it did not, and has asked elsewhere: it would run
-    twice. The tombstone outlives the deadline, past which nothing runs. With the ledger full there
-    is no room for one; then the flow refuses everything unknown up to that deadline instead.
+    The tombstone is stored before the answer is sent. Without it a delayed copy of the request
+    could run after the caller has retried elsewhere, which would be a second run. If the ledger is
+    full, the flow refuses every request without a record up to that deadline instead.
     """
     if retry_at is None:
         retry_at = retry_time(home, now)
@@ -62,7 +61,7 @@
 
 
 def forget_parts(home: state.State, entry: ledger.Entry) -> None:
-    """Free the memory of a request's parts."""
+    """Free the memory of a request's received parts."""
     home.upload_bytes -= sum(len(part) for part in entry.parts.values())
     entry.parts = {}
 
@@ -70,13 +69,13 @@
 def tell_unknown(
     home: state.State, flow: flows.Flow, request: bytes, reason: str, now: int
 ) -> None:
-    """Say that nobody can tell whether the request was run."""
+    """Send `OutcomeUnknown`: the request may or may not have run."""
     retry_at = retry_time(home, now)
     home.tell(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
 
 
 def on_request(home: state.State, flow: flows.Flow, message: messages.Request, now: int) -> None:
-    """Take in one part of a request."""
+    """Process one part of a request."""
     home.balance.fresh.request(flow.id)
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
@@ -95,7 +94,7 @@
 def begin(
     home: state.State, flow: flows.Flow, message: messages.Request, now: int
 ) -> ledger.Entry | None:
-    """Enter a request of which nothing is known yet, or refuse it and return None."""
+    """Record a request that is new here, or refuse it and return None."""
     verdict = fate(home, flow, message.deadline)
     if verdict is ledger.State.UNKNOWN:
         tell_unknown(home, flow, message.request, "its record may have been dropped", now)
@@ -104,8 +103,8 @@
     if verdict is ledger.State.NOT_RUN:
         reason = "refused while the ledger was full"
     if message.deadline > now + home.limits.max_deadline:
-        # A tombstone for it would have to be kept as long, without bound; but "not run" needs
-        # one. So nothing is promised, and nothing is run.
+        # `NotRun` needs a tombstone kept until the deadline, which has no bound here. So the
+        # request is not run and its outcome is reported as unknown.
         tell_unknown(home, flow, message.request, "the deadline is too far away", now)
         return None
     if reason:
@@ -127,7 +126,7 @@
 
 
 def reason_against(home: state.State, flow: flows.Flow, message: messages.Request, now: int) -> str:
-    """Return why a new request cannot be taken in now, or an empty string."""
+    """Return why a new request cannot be accepted now, or an empty string."""
     if message.deadline <= now:
         return "its deadline has passed"
     if home.leaving:
@@ -154,7 +153,7 @@
     message: messages.Request,
     now: int,
 ) -> None:
-    """Keep one part; hand the request on once it is whole, else report what is missing."""
+    """Store one part; admit the request once it is complete, else report the missing parts."""
     if message.parts != entry.total or not 0 <= message.part < message.parts:
         home.trace("dropped", flow.id, entry.request, reason="parts do not fit the request")
         return
@@ -169,7 +168,7 @@
 
 
 def missing_parts(entry: ledger.Entry) -> tuple[int, ...]:
-    """Return the numbers of the first missing parts, at most a window of them."""
+    """Return the numbers of the first missing parts, at most `messages.WINDOW`."""
     missing = []
     for number in range(entry.total):
         if number not in entry.parts:
@@ -180,7 +179,7 @@
 
 
 def admit(home: state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
-    """Start a whole request, queue it, or refuse it."""
+    """Start a complete request, queue it, or refuse it."""
     if not home.serving(flow.service):
         reason = home.leaving or "the upstream does not serve the service now"
         refuse(home, flow, entry.request, entry.deadline, reason, now)
@@ -198,7 +197,7 @@
 
 
 def start_waiting(home: state.State, now: int) -> None:
-    """Start queued requests while slots are free, refusing those whose time has run out."""
+    """Start queued requests while slots are free; refuse those past their deadline."""
     promoted = home.slots.promote(now, home.randomness)
     give_up_refused(home, promoted.refused, now)
     for key in promoted.run:
@@ -206,14 +205,14 @@
 
 
 def give_up_refused(home: state.State, refused: list[limits.Refused], now: int) -> None:
-    """Tell the callers of requests that lost their place in the queue."""
+    """Refuse requests that were removed from the queue."""
     for each in refused:
         entry = home.ledger.entries[each.key]
         give_up(home, entry, each.answer.reason, now, each.answer.retry_at)
 
 
 def start(home: state.State, entry: ledger.Entry, now: int) -> None:
-    """Hand a request to the upstream. Its record stands in the ledger already."""
+    """Send a request that is already in the ledger to the upstream."""
     entry.state = ledger.State.RUNNING
     entry.started_at = now
     body = b"".join(entry.parts[number] for number in range(entry.total))
@@ -229,7 +228,7 @@
 def give_up(
     home: state.State, entry: ledger.Entry, reason: str, now: int, retry_at: int | None = None
 ) -> None:
-    """Refuse a request that has a record but has not started, whether its flow is here or not."""
+    """Refuse a recorded request that has not started, even if its flow was closed meanwhile."""
     flow = home.flows.get(entry.flow)
     if flow is not None:
         refuse(home, flow, entry.request, entry.deadline, reason, now, retry_at)
@@ -241,13 +240,13 @@
 
 
 def give_up_queued(home: state.State, services: set[str] | None, reason: str, now: int) -> None:
-    """Refuse at once every queued request (of the named services, or all)."""
+    """Refuse the queued requests of the services, or of all services if None."""
     refused = home.slots.refuse_queued(reason, now, home.randomness, services)
     give_up_refused(home, refused, now)
 
 
 def finish(home: state.State, event: events.Finished, now: int) -> None:
-    """Record an answer, send its first window, and start what waits."""
+    """Record an answer, send its first window of parts, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.State.RUNNING:
         return
@@ -269,14 +268,14 @@
 
 
 def fail(home: state.State, event: events.Failed, now: int) -> None:
-    """Record that the upstream gave no answer, and start what waits."""
+    """Record that the upstream gave no answer, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.State.RUNNING:
         return
     shed = not event.may_have_run and event.retry_at > 0
     home.slots.finish(entry.key, limits.Outcome.SHED if shed else limits.Outcome.FAILED, now)
     if not shed and not entry.cancelled and now < entry.deadline:
-        # What was cancelled, or came too late to be sent, says nothing about the upstream.
+        # A request that was cancelled or too late to be sent shows nothing about the upstream.
         siblings.note_result(home, False, now)
     settle_failed(home, entry, event.reason, event.may_have_run, event.retry_at, now)
     start_waiting(home, now)
@@ -290,7 +289,7 @@
     retry_at: int,
     now: int,
 ) -> None:
-    """Record the final word on a request that brought no answer, and tell its caller."""
+    """Record the outcome of a request that got no answer, and report it to the caller."""
     entry.keep_until = max(entry.keep_until, now + home.limits.ledger_margin)
     if not may_have_run:
         entry.state = ledger.State.NOT_RUN
@@ -306,9 +305,9 @@
 
 
 def tell_outcome(home: state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
-    """Tell the caller what the record says."""
+    """Send the caller the recorded state or outcome of a request."""
     if entry.delivered:
-        # Whatever asks is a late copy; its caller has the whole answer, and no part is left here.
+        # A late copy: the caller has acknowledged the whole answer, which is no longer stored.
         home.trace("dropped", flow.id, entry.request, reason="its answer was delivered")
     elif entry.state is ledger.State.ANSWERED:
         send_parts(home, flow, entry, range(messages.WINDOW))
@@ -321,7 +320,7 @@
 
 
 def send_parts(home: state.State, flow: flows.Flow, entry: ledger.Entry, numbers) -> None:
-    """Send the named parts of an answer."""
+    """Send the numbered parts of an answer; numbers out of range are skipped."""
     total = part_count(entry)
     for number in numbers:
         if not 0 <= number < total:
@@ -342,7 +341,7 @@
 
 
 def on_fetch(home: state.State, flow: flows.Flow, message: messages.Fetch, now: int) -> None:
-    """Send the parts asked for, or what else the record says."""
+    """Send the requested parts of an answer, or the recorded outcome if it is another one."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
         tell_unknown(home, flow, message.request, "no record of it is left", now)
@@ -353,7 +352,7 @@
 
 
 def on_acknowledge(home: state.State, flow: flows.Flow, message: messages.Acknowledge) -> None:
-    """Let go of an answer that its caller has; the record itself stays."""
+    """Free the body of an answer that the caller has received; the record stays."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None or entry.state is not ledger.State.ANSWERED:
         return
@@ -362,12 +361,12 @@
 
 
 def part_count(entry: ledger.Entry) -> int:
-    """Return in how many parts an answer travels; an empty one has one empty part."""
+    """Return the number of parts of an answer; an empty one has one empty part."""
     return max(1, -(-len(entry.body) // messages.PART_BYTES))
 
 
 def on_cancel(home: state.State, flow: flows.Flow, message: messages.Cancel, now: int) -> None:
-    """Stop a request: not run if it had not started, else whatever the upstream then says."""
+    """Cancel a request: refuse it if it has not started, else ask the upstream to stop it."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
         home.tell(flow, messages.UnknownFlow(flow.id, message.request, "nothing to cancel"))
@@ -384,7 +383,7 @@
 
 
 def on_settle(home: state.State, flow: flows.Flow, message: messages.Settle, now: int) -> None:
-    """Say what became of a request in doubt; one that never came whole never will run."""
+    """Report the outcome of a request; one that is not complete is refused for good."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None and fate(home, flow, message.deadline) is ledger.State.UNKNOWN:
         tell_unknown(home, flow, message.request, "its record may have been dropped", now)
@@ -398,7 +397,7 @@
 
 
 def expire(home: state.State, now: int) -> None:
-    """Refuse what can no longer start, cancel what has run out of time, drop old records."""
+    """Refuse queued and cancel running requests past their deadline; drop expired records."""
     give_up_refused(home, home.slots.expire(now, home.randomness), now)
     for key in home.slots.running:
         entry = home.ledger.entries[key]
@@ -411,8 +410,8 @@
 
 @functools.singledispatch
 def on_message(message, home: state.State, flow: flows.Flow, now: int) -> None:
-    """Act on a caller's message about a request of a flow that lives here."""
-    raise TypeError(f"no rule for {type(message).__name__}")
+    """Process a caller's message about a request of a flow whose home is here."""
+    raise TypeError(f"no handler for message {type(message).__name__}")
 
 
 @on_message.register
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -1,7 +1,7 @@
-"""Decide everything that a sidecar decides: `decide(home, event, now)` returns the effects.
+"""Implement the sidecar's state machine: `decide(home, event, now)` returns the effects.
 
-No clock, socket, thread or global randomness is used here: the shell, the tests and any bench
-drive the same core.
+It uses no clock, socket, thread or global randomness, so that daemons and simulations run the same
+code.
 """
 
 import functools
@@ -25,7 +25,7 @@
 from ebonystile.peer import messages
 
 LEASE_CHECK_MS = 1_000
-"""How often leases are looked through, in ms: each look visits every flow."""
+"""Interval of the check for expired leases, which visits every flow."""
 
 
 def make_sidecar(
@@ -36,12 +36,12 @@
     now: int,
     policy: balance.Policy = balance.DEFAULT,
 ) -> state.State:
-    """Return the state of a sidecar that has just started."""
+    """Return the initial state of a sidecar."""
     return state.State(name, incarnation, limits, randomness, now, policy)
 
 
 def decide(home: state.State, event, now: int) -> list[effects.Effect]:
-    """Take in one event at time `now` (ms) and return what is to be done, in order."""
+    """Process one event at time `now` (ms) and return the effects, in order."""
     notice_pause(home, now)
     on_event(event, home, now)
     siblings.report(home, now)
@@ -49,11 +49,11 @@
 
 
 def notice_pause(home: state.State, now: int) -> None:
-    """Hold new work after a pause until a view has been confirmed.
+    """Refuse new work after a pause of the process until a view has been confirmed.
 
-    A process that was stopped and woken acts on an old view: its upstream may serve another
-    service by now, and a request would reach the wrong one. Ticks come every few ms in a running
-    process, so a long gap between events means a pause; `ViewChanged` ends it.
+    After a pause the view may be stale: the upstream may serve another service by now, and a
+    request would reach the wrong one. Ticks come at least every `events.TICK_MS`, so a long gap
+    between events means a pause; `ViewChanged` ends this state.
     """
     if now - home.last_tick > home.limits.pause_bound and home.caught_up:
         home.caught_up = False
@@ -63,8 +63,8 @@
 
 @functools.singledispatch
 def on_event(event, home: state.State, now: int) -> None:
-    """Act on one event."""
-    raise TypeError(f"no rule for {type(event).__name__}")
+    """Process one event."""
+    raise TypeError(f"no handler for event {type(event).__name__}")
 
 
 @on_event.register
@@ -171,7 +171,7 @@
 
 
 def leave(home: state.State, reason: str, now: int) -> None:
-    """Take no new work from now on; what runs goes on, what waits is refused at once."""
+    """Refuse new and queued requests from now on; running requests go on."""
     if home.leaving:
         return
     home.leaving = f"the upstream is leaving: {reason}"
@@ -181,7 +181,7 @@
 
 
 def follow_leaving(home: state.State, leaving: bool, now: int) -> None:
-    """Leave or stay as the view says; what the process decided for itself goes before it."""
+    """Leave or stay as the view says, unless the process itself has decided to leave."""
     if leaving and not home.leaving:
         leave(home, "the configuration or the list says so", now)
         home.leaving_by_view = True
@@ -192,7 +192,7 @@
 
 
 def drained(home: state.State) -> bool:
-    """Whether a leaving sidecar has nothing left to finish or to hand over."""
+    """Return whether a leaving sidecar has no request to finish and no flow to hand over."""
     if not home.leaving or home.slots.running:
         return False
     return all(flow.moved_to is not None or flow.lost for flow in home.flows.values())
@@ -201,11 +201,10 @@
 def route(
     home: state.State, forward: messages.Forward, message: caller_messages.FromCaller, now: int
 ) -> None:
-    """Act on a message if its flow lives here; else send it towards the flow's home.
+    """Process a message if its flow's home is here; else forward it towards that home.
 
-    The service, the flow and the home's incarnation must all match. An address that was reused by
-    another upstream, or a balancer with an old view, would otherwise bring one service's request
-    to another's upstream; here it finds no match and is passed on.
+    The service, the flow and the home's incarnation must all match. Otherwise a reused address or
+    a balancer with a stale view could deliver a request to an upstream of another service.
     """
     flow = home.flows.get(message.flow)
     token = view.unpack_token(message.token)
@@ -232,7 +231,7 @@
     message: caller_messages.FromCaller,
     now: int,
 ) -> None:
-    """Say what the records of a fenced flow say; they are final, and nothing new may begin."""
+    """Answer a message of a fenced flow from its records; no new request may start."""
     request = getattr(message, "request", b"")
     if home.ledger.get(flow.id, request) is not None:
         flow.caller = forward.caller
@@ -241,12 +240,12 @@
     elif flow.lost:
         pass_on(home, forward, message)
     else:
-        # The target may be the home already. The caller's next copy finds out.
+        # The target may already be the home; the caller's next copy is routed by the result.
         home.trace("held", flow.id, reason="handover under way")
 
 
 def matches(flow: flows.Flow | None, token: view.Token | None, service: str) -> bool:
-    """Whether the flow is the one that the token was given for."""
+    """Return whether the token was issued for this flow and is still valid."""
     return (
         flow is not None
         and token is not None
@@ -259,7 +258,7 @@
 def pass_on(
     home: state.State, forward: messages.Forward, message: caller_messages.FromCaller
 ) -> None:
-    """Send a message on to the next sidecar, or say that no one holds its flow."""
+    """Forward a message to the next sidecar, or send `UnknownFlow` if all have been tried."""
     if home.pass_on(forward, message.flow, message.service):
         return
     request = getattr(message, "request", b"")
@@ -270,7 +269,7 @@
 
 @functools.singledispatch
 def on_message(message, home: state.State, flow: flows.Flow, now: int) -> None:
-    """Act on a message of a flow that lives here; most concern a request."""
+    """Process a message of a flow whose home is here; most concern a request."""
     requests.on_message(message, home, flow, now)
 
 
@@ -295,8 +294,8 @@
 @on_message.register
 def _(message: caller_messages.Close, home, flow, now):
     if message.token != flow.token:
-        # The close was meant for a second home of the flow that was since joined with this one, or
-        # comes from before a handover. The flow would end under its caller; so it only idles.
+        # The close is for a second home that was merged into this one, or predates a handover.
+        # Closing the flow would end it while its caller still uses it; its lease ends it later.
         return
     flow.feeds.clear()
     for entry in home.ledger.of_flow(flow.id):
@@ -308,7 +307,7 @@
 
 
 def expire_flows(home: state.State, now: int) -> None:
-    """Forget flows whose lease has ended and for which nothing runs."""
+    """Remove the flows with an expired lease and no pending request."""
     if now - home.leases_checked_at < LEASE_CHECK_MS:
         return
     home.leases_checked_at = now
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -132,8 +132,8 @@
     Mutation(
         "bound on deadlines far away",
         CORE + "calls/requests.py",
-        "    if message.deadline > now + home.limits.max_deadline:\n        # A tombstone",
-        "    if False:\n        # A tombstone",
+        "    if message.deadline > now + home.limits.max_deadline:\n        # `NotRun`",
+        "    if False:\n        # `NotRun`",
     ),
     Mutation(
         "truth about a lost connection",
@@ -252,8 +252,8 @@
     Mutation(
         "flow given up when its target was restarted",
         CORE + "calls/handover.py",
-        "nobody knows.\n        lose(home, flow)\n",
-        "nobody knows.\n        try_another(home, flow, now)\n",
+        "ran of the flow.\n        lose(home, flow)\n",
+        "ran of the flow.\n        try_another(home, flow, now)\n",
     ),
     Mutation(
         "flow given up when its target is gone",
