--- a/src/ebonystile/core/carrying/__init__.py
+++ b/src/ebonystile/core/carrying/__init__.py
@@ -1,1 +1,1 @@
-"""Carry flows whose packets the system can neither read nor change, from end to end."""
+"""Flows that are forwarded packet by packet, without terminating the connection."""
--- a/src/ebonystile/core/carrying/effects.py
+++ b/src/ebonystile/core/carrying/effects.py
@@ -1,4 +1,4 @@
-"""What the cores of carried flows ask their shells to do."""
+"""The effects that the cores of carried flows return for their processes to carry out."""
 
 import dataclasses
 import typing
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Send:
-    """Send a message to another process of the system."""
+    """Send a message to a balancer or sidecar."""
 
     address: view.Address
     message: messages.Message
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ToUpstream:
-    """Give a packet to the upstream beside this process."""
+    """Send a packet to this sidecar's upstream."""
 
     raw: bytes
 
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reset:
-    """Tell the caller that its flow has ended, at the position that it acknowledges."""
+    """Reset the caller's flow; `position` is the sequence number that the caller acknowledges."""
 
     flow: packet.Flow
     position: int
@@ -39,21 +39,21 @@
 
 @dataclasses.dataclass(slots=True)
 class ReadAgain:
-    """Ask the platform's store anew: somebody has a newer configuration."""
+    """Read the store again: another process has the newer configuration `version`."""
 
     version: int
 
 
 @dataclasses.dataclass(slots=True)
 class ReadFrom:
-    """Read from this sidecar what it has read of the store, where nothing better is at hand."""
+    """Add this sidecar to the relays from which the store's contents may be read."""
 
     address: view.Address
 
 
 @dataclasses.dataclass(slots=True)
 class Trace:
-    """Log a decision with the inputs that decided it."""
+    """Log a decision with its inputs."""
 
     event: str
     fields: tuple[tuple[str, typing.Any], ...]
@@ -63,10 +63,10 @@
 
 
 def trace(event: str, **fields: typing.Any) -> Trace:
-    """Return the trace of a decision."""
+    """Return the effect that logs a decision."""
     return Trace(event, tuple(fields.items()))
 
 
 def read_again(version: int, known: int) -> list[Effect]:
-    """Return the wish to read the store again where a peer has a newer configuration."""
+    """Return the effect of reading the store again if a peer's `version` is newer than `known`."""
     return [ReadAgain(version)] if version > known else []
--- a/src/ebonystile/core/carrying/messages.py
+++ b/src/ebonystile/core/carrying/messages.py
@@ -1,6 +1,6 @@
-"""What balancers and sidecars say to one another about carried flows.
+"""The messages between balancers and sidecars about carried flows.
 
-The data classes are not frozen: making a frozen one takes twice as long, and a packet needs some.
+The data classes are not frozen, as creating a frozen one is slower and every packet needs some.
 """
 
 import dataclasses
@@ -10,10 +10,10 @@
 
 
 class Holding(enum.IntEnum):
-    """What a sidecar knows of a flow at its own upstream.
+    """What a sidecar knows of a flow at its upstream.
 
-    UNKNOWN is said by one that started so recently that its upstream may hold flows which it has
-    not seen a packet of yet.
+    OFFERED is a flow that the upstream has accepted and its caller not yet continued. UNKNOWN is
+    answered by a sidecar that started so recently that its table may lack flows of its upstream.
     """
 
     ABSENT = 0
@@ -24,13 +24,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What a sidecar observes of its upstream: requests running, flows held, slots.
-
-    `latency` is the recent time from a request to its answer in ms, 0 if there was none, `good` the
-    share of requests that were answered at all. `silent` says that the upstream has left opening
-    packets unanswered, `accepting` that new flows may come, `saturated` that a request runs on each
-    slot; `running` counts those as well that are about to come on flows just opened. `full` says
-    that the upstream is cold and has had as many new flows of late as it bears.
+    """The load of an upstream, as observed by its sidecar.
+
+    `running` is the number of running requests, including those expected on flows just opened;
+    `flows` is the number of open flows. `latency` is the average latency of recent requests in ms,
+    0 without any, and `good` the share of recent requests that got a proper answer. `accepting` is
+    set if the upstream takes new flows, `silent` if it leaves opening packets unanswered,
+    `saturated` if a request runs on each of its slots, and `full` if it is cold and the limit on
+    its new flows is reached.
     """
 
     running: int = 0
@@ -46,10 +47,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Ask:
-    """Ask a sidecar whether its upstream holds the flow, and how busy it is.
+    """Ask a sidecar whether its upstream holds the flow, and for the upstream's load.
 
-    `acknowledged` is the position that the caller acknowledges: it tells which of two upstreams
-    that both accepted the flow the caller went on with.
+    `acknowledged` is the caller's acknowledgement number. If two upstreams have accepted copies of
+    the opening packet, it shows with which of them the caller has continued.
     """
 
     flow: packet.Flow
@@ -59,10 +60,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """A sidecar's answer; `version` is that of its configuration.
+    """A sidecar's answer to `Ask`; `version` is that of the sidecar's configuration.
 
-    `revision` is how far it has read the store: an asker that has read less may not know upstreams
-    on which others have placed flows already.
+    `revision` is the store's revision up to which the sidecar has read. A balancer that has read
+    less may not know upstreams to which other balancers have already sent flows.
     """
 
     flow: packet.Flow
@@ -74,9 +75,9 @@
 
 @dataclasses.dataclass(slots=True)
 class AskMany:
-    """Ask about many open flows at once, each with the position that its caller acknowledges.
+    """Ask about many open flows at once, each with its caller's acknowledgement number.
 
-    `number` comes back with the answer, which gives a holding for each question in their order.
+    The answer repeats `number` and has one holding for each question, in the same order.
     """
 
     number: int
@@ -97,7 +98,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Open:
-    """Give a new flow to the upstream, if that serves the service with this key."""
+    """Send a new flow's opening packet to the upstream, if it serves the service with this key."""
 
     service: int
     version: int
@@ -106,16 +107,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Carry:
-    """Give a packet of an open flow to the upstream that holds it."""
+    """Send a packet of an open flow to the upstream that holds it."""
 
     raw: bytes
 
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """Find out by this packet, which the balancer keeps, whether the upstream holds its flow.
+    """Find out with a packet of an open flow whether the upstream holds the flow.
 
-    The sidecar gives an `Answer` once its upstream has answered the packet or returned it.
+    The sidecar sends an `Answer` when the upstream has answered or returned the packet. The
+    balancer keeps its copy of the packet.
     """
 
     raw: bytes
@@ -123,13 +125,19 @@
 
 @dataclasses.dataclass(slots=True)
 class ProbeMany:
-    """Several `Probe` in one datagram, for flows that are looked for at the same time."""
+    """Several `Probe` messages in one datagram."""
 
     raws: tuple[bytes, ...]
 
 
 class Reason(enum.IntEnum):
-    """Why a packet comes back to the balancer."""
+    """Why a sidecar returns a packet to the balancer.
+
+    ABSENT: the upstream does not hold the flow. FULL: the upstream returned the opening packet.
+    COLD: the limit on new flows of a cold upstream is reached. The others refuse a new flow because
+    the upstream is leaving, serves another service, or lies in a drained zone or in a region that
+    the route excludes, or because no route to the service is configured.
+    """
 
     ABSENT = 0
     FULL = 1
@@ -143,7 +151,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Return:
-    """Give a packet back that this upstream can't take; `version` as in `Answer`."""
+    """Return a packet that the upstream may not get or did not take; `version` as in `Answer`."""
 
     reason: Reason
     version: int
@@ -152,10 +160,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Announce:
-    """A sidecar's word to the seeds that it is there.
+    """Announce a sidecar to the seeds, and to the witnesses if its upstream has no entry.
 
-    `listed` tells whether its upstream has an entry, `relays` whether others may read from it what
-    it has read of the store.
+    `listed` is set if the upstream has an entry, `relays` if other processes may read the store's
+    contents from this sidecar.
     """
 
     listed: bool
@@ -164,12 +172,15 @@
 
 @dataclasses.dataclass(slots=True)
 class AskUnlisted:
-    """Ask a seed which sidecars have told it that their upstreams have no entry."""
+    """Ask a seed or witness for the sidecars whose upstreams have no entry."""
 
 
 @dataclasses.dataclass(slots=True)
 class AnswerUnlisted:
-    """A seed's answer to `AskUnlisted`, and for how long it has listened, in ms."""
+    """The answer to `AskUnlisted`.
+
+    `listening` is for how long the answering process has received announcements, in ms.
+    """
 
     listening: int
     sidecars: tuple[tuple[str, int], ...]
--- a/src/ebonystile/core/carrying/packet.py
+++ b/src/ebonystile/core/carrying/packet.py
@@ -1,10 +1,11 @@
-"""Describe one packet of a carried flow, as far as the system may look into it."""
+"""The packets of carried flows: the header fields that the system uses, and flow identifiers."""
 
 import dataclasses
 import struct
 
 Flow = bytes
-"""The 12 bytes that name a flow: address and port of the caller, address and port of the route."""
+"""The 12 bytes that identify a flow: address and port of the caller, address and port of the
+route."""
 
 END_BYTES = 6
 """Bytes of one end of a flow: IPv4 address and port."""
@@ -14,12 +15,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Packet:
-    """One packet; `raw` holds all of it as it came.
+    """One packet; `raw` is the whole packet as received.
 
-    `opens` marks the packet that asks for a new flow, `accepts` the upstream's answer to it.
-    `copy` counts how often the caller has repeated an opening packet before this one. `sequence`
-    and `acknowledged` are the sender's stream positions, `length` its bytes of data. A `returned`
-    packet is one that the upstream would not take.
+    `opens` marks the packet that requests a new flow, `accepts` the upstream's answer to it,
+    `closes` the end of the sender's data, and `aborts` a reset. `sequence` and `acknowledged` are
+    the sender's sequence and acknowledgement numbers, `length` is its number of data bytes. A
+    `returned` packet is one that the upstream did not take.
     """
 
     flow: Flow
@@ -35,17 +36,17 @@
 
     @property
     def copy(self) -> int:
-        """Return how many copies of an opening packet came before this one."""
+        """Return how often the caller has sent this opening packet before, 0 for other packets."""
         return self.acknowledged if self.opens else 0
 
 
 def route_end(flow: Flow) -> bytes:
-    """Return the route's end of the flow."""
+    """Return the address and port of the flow's route, as bytes."""
     return flow[END_BYTES:]
 
 
 def end_of(host: str, port: int) -> bytes:
-    """Return the bytes of one end of a flow."""
+    """Return an address and port as the bytes of one end of a flow."""
     return bytes(int(part) for part in host.split(".")) + PORT.pack(port)
 
 
@@ -65,5 +66,5 @@
 
 
 def flow_text(flow: Flow) -> str:
-    """Return a flow as it stands in logs: `caller>route`."""
+    """Return a flow as `caller>route`, the form used in logs."""
     return f"{end_text(flow[:END_BYTES])}>{end_text(flow[END_BYTES:])}"
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -1,7 +1,7 @@
-"""Decide for one upstream: which packets it gets, what comes back from it, and what to answer.
+"""Decide for one upstream which packets it receives and what the balancers are answered.
 
-The sidecar is the last door. It alone gives packets to its upstream, and the table of flows that
-it keeps is where the system knows where a flow lives.
+The sidecar is the last check before an upstream: every packet to the upstream passes it, and its
+flow table is the authority on which flows the upstream holds.
 """
 
 import dataclasses
@@ -21,27 +21,25 @@
 )
 
 SILENT_MS = 60
-"""How long an upstream may leave an opening packet unanswered before it counts as silent, in ms:
-one that serves answers within a millisecond, one whose instance is slow within ten."""
+"""How long an upstream may leave an opening packet unanswered before it counts as silent, in ms.
+A healthy upstream answers within a millisecond, one on a slow instance within ten."""
 
 RETRY_MS = 500
-"""How often a silent upstream is tried with a real flow, in ms."""
+"""Interval at which a silent upstream is given one new flow as a trial, in ms."""
 
 LOST_MS = 150
-"""How long an upstream whose entry is gone may leave a flow's packet unanswered, in ms.
-
-Callers send a packet again after 200 ms; an upstream that lives has acknowledged it by then.
-"""
+"""How long an upstream without an entry may leave a packet unanswered before its flows are lost, in
+ms. Shorter than the 200 ms after which callers retransmit."""
 
 MAX_ABSENT = 4_096
-"""Flows remembered as absent after the upstream returned a packet of theirs."""
+"""Bound on the flows remembered as absent after the upstream returned one of their packets."""
 
 
 @dataclasses.dataclass(slots=True)
 class Probed:
-    """A packet of an unknown flow, given to the upstream on behalf of `source` at a time in ms.
+    """A probe of the upstream: a packet of an unknown flow, sent at `at` (ms) for `source`.
 
-    `kept` says that the source has kept the packet and wants to know only what becomes of it.
+    If `kept`, the source still has the packet and needs only an answer, not the packet itself.
     """
 
     source: view.Address
@@ -50,7 +48,7 @@
 
 
 class Sidecar:
-    """What one sidecar believes; methods return what is to be done, in order."""
+    """The state of one sidecar. Its methods return the effects to be carried out, in order."""
 
     def __init__(
         self,
@@ -89,37 +87,36 @@
 
     @property
     def own(self) -> fleet.Upstream | None:
-        """Return the upstream beside this process, as it is listed."""
+        """Return the entry of this sidecar's upstream, or None if it has none."""
         return self.fleet.by_address.get(self.address)
 
     def incomplete(self, now: int) -> bool:
-        """Tell whether the upstream may hold flows that this process has not seen yet.
+        """Return whether the upstream may hold flows that are missing in the flow table.
 
-        After a restart the table is empty while the upstream's flows live on. Any flow that still
-        matters shows a packet within the idle limit, after which the table is whole again.
+        After a restart of the sidecar the table is empty while the upstream's flows are still open.
+        Every flow has a packet within the idle timeout, so the table is complete after that time.
         """
         if self.saw_start or self.upstream_gone(now):
             return False
         return now - self.started_at < self.current.routes.idle
 
     def upstream_gone(self, now: int) -> bool:
-        """Tell whether no upstream is there any more: not listed, and silent when it is probed.
+        """Return whether the upstream has ended: it has no entry and leaves probes unanswered.
 
-        It left just before its instance lost power, and only the sidecar was started again. If that
-        said that it does not know, no flow that was lost could be told from one that lived there,
-        and their callers would wait until their time limits. One that lives answers a probe.
+        This happens when an upstream leaves, its instance loses power, and only the sidecar is
+        started again. Answering UNKNOWN for it would delay the reset of every lost flow until the
+        caller's timeout.
         """
         if self.probed_since is None or not self.view_fresh or self.own is not None:
             return False
         return now - self.probed_since >= LOST_MS
 
     def view_changed(self, now: int) -> None:
-        """Note the upstream's entry, and whether it has started while this process looked on.
+        """Update from the view the upstream's entry and whether this sidecar has seen it start.
 
-        Flows are placed on upstreams that have an entry. One that started since then has no flow
-        that went past this process, so the table is whole at once. It is kept as it is: the entry
-        may arrive here after the first flows have, and packets of flows that ended with an earlier
-        start come back from the upstream.
+        Flows are placed only on upstreams with an entry, so an upstream that started after this
+        sidecar has no flow that the table misses. Flows already in the table are kept: the first
+        may arrive before the entry, and the upstream returns packets of flows of an earlier start.
         """
         own = self.own
         if self.fleet.added != self.known_added:
@@ -134,26 +131,25 @@
         self.listed = own
 
     def is_new(self, own: fleet.Upstream, now: int) -> bool:
-        """Tell whether an upstream's entry shows that no flow was placed there before this start.
+        """Return whether the entry shows an upstream that started after this sidecar, or with it.
 
-        It appeared while this process looked on, or that of the upstream before it still stands:
-        then both, the instance's processes and the upstream, ended within an entry's lease of a few
-        heartbeats. The entry of one that lives is gone as well after its instance was dark for a
-        while; but that one is through with its slow first seconds, which last shorter than a lease.
+        Either the entry appeared after the first view, or the entry of an earlier start at the same
+        address has not expired yet: the instance restarted within one lease. An upstream that only
+        lost its entry while its instance was unreachable is no longer cold, as a warm-up is shorter
+        than a lease.
 
-        After a loss of power of everything all sidecars know so at once that the flows before it
-        are over. Every upstream would else be probed for each of those flows, and most callers
-        would reach their time limit before a balancer is through with them.
+        So after a power loss of all instances every sidecar knows at once that earlier flows are
+        gone, and no upstream is probed for each of them.
         """
         if now >= own.warm_at:
             return False
         return own.name not in self.first_view or self.fleet.predecessor(own) is not None
 
     def upstream_lost(self, held: table.Held, now: int) -> bool:
-        """Tell whether the upstream has gone for good while this process runs on.
+        """Return whether the upstream of an open flow has ended while this sidecar keeps running.
 
-        Its entry is gone, and it has not stirred since it was last given a packet of the flow. An
-        upstream that only the store can't hear answers, and keeps its flows.
+        Its entry is gone, and it has sent nothing for `LOST_MS` after a packet of the flow. An
+        upstream that is only cut off from the store still answers, and keeps its flows.
         """
         if not self.view_fresh or self.listed is None or self.fleet.lives(self.listed):
             return False
@@ -163,16 +159,17 @@
         return now - held.given_at >= LOST_MS
 
     def silent(self, now: int) -> bool:
-        """Tell whether the upstream leaves opening packets unanswered.
+        """Return whether the upstream leaves opening packets unanswered.
 
-        One flow each `RETRY_MS` goes to it all the same, or nobody would notice its return.
+        Every `RETRY_MS` it counts as responsive until one new flow has been sent to it, so that its
+        recovery is noticed.
         """
         if self.unanswered_since is None or now - self.unanswered_since < SILENT_MS:
             return False
         return now - self.tried_at < RETRY_MS
 
     def load(self, now: int) -> messages.Load:
-        """Return what is observed of the upstream."""
+        """Return the current load of the upstream."""
         own = self.own
         slots = own.slots if own else 1
         return messages.Load(
@@ -188,42 +185,42 @@
         )
 
     def room(self, now: int) -> bool:
-        """Tell whether the upstream may get one more new flow, as far as it is cold."""
+        """Return whether the limit for cold upstreams admits one more new flow."""
         own = self.own
         warm_up = self.current.routes.warm_up_of(self.service)
         return self.warming.room(warm_up, own.warm_at if own else None, now)
 
     def refusal(self) -> messages.Reason | None:
-        """Return why no new flow may come, or None if one may."""
+        """Return why the upstream accepts no new flows, or None if it does."""
         own = self.own
         if self.leaving or (own is not None and own.leaving):
             return messages.Reason.LEAVING
         if own is not None and own.service != self.service:
             return messages.Reason.OTHER_SERVICE
-        # A balancer that is cut off from the store may not know yet that the zone is drained.
+        # A balancer that is cut off from the store may not know that the zone is drained.
         if self.zone in self.fleet.drained:
             return messages.Reason.DRAINED
         return None
 
     def holding(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.Holding:
-        """Return whether the upstream holds the flow."""
+        """Return whether the upstream holds the flow; UNKNOWN while the table is incomplete."""
         holding = self.table.holding(flow, acknowledged)
         if holding is messages.Holding.ABSENT and self.incomplete(now) and flow not in self.absent:
             return messages.Holding.UNKNOWN
         return holding
 
     def answer(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.Answer:
-        """Return what a balancer is told of the flow."""
+        """Return the answer to a balancer's question about the flow."""
         holding = self.holding(flow, acknowledged, now)
         version = self.current.routes.version
         return messages.Answer(flow, version, holding, self.load(now), self.revision)
 
     def returned(self, reason: messages.Reason, raw: bytes) -> messages.Return:
-        """Return the message that gives a packet back."""
+        """Return the message that returns a packet to the balancer it came from."""
         return messages.Return(reason, self.current.routes.version, raw)
 
     def on_tick(self, now: int) -> list[effects.Effect]:
-        """Forget what is over."""
+        """Drop expired state, and return the announcements and log entries that are due."""
         self.fleet.expire(now)
         self.table.sweep(self.current.routes.idle, now)
         old = now - self.current.routes.idle
@@ -232,7 +229,7 @@
         return [*self.note_certainty(now), *self.announce(now)]
 
     def note_certainty(self, now: int) -> list[effects.Effect]:
-        """Log when this process begins or ceases to know all flows of its upstream."""
+        """Log when the flow table becomes complete or incomplete."""
         incomplete = self.incomplete(now)
         if incomplete == self.was_incomplete:
             return []
@@ -249,7 +246,7 @@
         ]
 
     def announce(self, now: int) -> list[effects.Effect]:
-        """Tell the seeds of an upstream without an entry, or that others may read from here."""
+        """Return the announcements that are due: of an upstream without an entry, or as a relay."""
         if self.first_view is None:
             return []
         if self.own is not None:
@@ -258,10 +255,10 @@
         return self.announcer.due(False, now, witnesses)
 
     def listening(self, now: int) -> int:
-        """Return for how long, in ms, this process has heard of all sidecars that it does not list.
+        """Return for how long, in ms, this sidecar has received the announcements meant for it.
 
-        One that starts while the list is still filling does not know its witnesses yet. A datagram
-        may be read with the time of just before the last change of the list.
+        Which sidecars are witnesses depends on the list of upstreams, so the time starts again with
+        each upstream added. `now` may be slightly before the last change of the list.
         """
         return max(0, now - max(self.started_at, self.grown_at)) if self.view_fresh else 0
 
@@ -272,13 +269,13 @@
         source: view.Address,
         now: int,
     ) -> list[effects.Effect]:
-        """Act on a balancer's message; `received` is the packet in it."""
+        """Handle a message; `received` is the packet in it, if any."""
         return act(message, self, received, source, now)
 
     def give_unknown(
         self, received: packet.Packet, source: view.Address, now: int, *, kept: bool
     ) -> list[effects.Effect]:
-        """Let the upstream say whether it holds the flow, once for each flow."""
+        """Handle a packet of a flow that is not in the table: probe the upstream with it once."""
         if received.flow in self.absent or not self.incomplete(now):
             return [effects.Send(source, self.refused(received, kept, now))]
         self.probed[received.flow] = Probed(source, now, kept)
@@ -287,10 +284,10 @@
         return [effects.ToUpstream(received.raw)]
 
     def refused(self, received: packet.Packet, kept: bool, now: int) -> messages.Message:
-        """Return what tells a balancer that its packet is of no flow here.
+        """Return the message that says that the upstream does not hold the packet's flow.
 
-        Where it has kept the packet, that need not travel back: after a loss of everything dozens
-        of upstreams are probed for each open flow, with whole packets of uploads.
+        The packet is left out if the balancer has kept it. After a power loss dozens of upstreams
+        are probed for each open flow, many with full-size packets.
         """
         if kept:
             version = self.current.routes.version
@@ -301,9 +298,9 @@
         return self.returned(messages.Reason.ABSENT, received.raw)
 
     def on_upstream(self, sent: packet.Packet, now: int) -> list[effects.Effect]:
-        """Act on a packet that the upstream sent or would not take."""
+        """Handle a packet that the upstream sent or returned."""
         if self.unanswered_since is not None and now - self.unanswered_since >= SILENT_MS:
-            # It may have crashed and be back, cold, before its entry says so.
+            # It may have crashed and restarted, cold, before its entry shows the new start.
             self.warming.note_restart(now)
         self.unanswered_since = None
         self.probed_since = None
@@ -323,7 +320,7 @@
         return [effects.ToCaller(sent), *found]
 
     def on_returned(self, sent: packet.Packet, now: int) -> list[effects.Effect]:
-        """Act on a packet that the upstream would not take."""
+        """Handle a packet that the upstream did not take."""
         held = self.table.flows.get(sent.flow)
         if sent.opens:
             if held is None or held.held:
@@ -337,8 +334,8 @@
         probe = self.probed.pop(sent.flow, None)
         self.note_absent(sent.flow, now)
         if held is not None and held.held and not held.closed:
-            # The upstream held the flow and holds it no more: it has started anew, or given the
-            # flow up. The caller would go on sending into nothing until its time is over.
+            # The upstream has restarted or dropped the flow. Without a reset the caller would
+            # retransmit until its timeout.
             self.table.forget(sent.flow)
             self.warming.note_restart(now)
             age = now - held.opened_at
@@ -366,7 +363,7 @@
     source: view.Address,
     now: int,
 ) -> list[effects.Effect]:
-    """Act on one message of a balancer; one that is none of a sidecar's changes nothing."""
+    """Handle a message by its type; a message that is not meant for a sidecar is only logged."""
     return [effects.trace("message_refused", message=type(message).__name__)]
 
 
@@ -415,10 +412,10 @@
 def refusal_of(
     message: messages.Open, received: packet.Packet, sidecar: Sidecar, now: int
 ) -> messages.Reason | None:
-    """Return why the upstream may not get the new flow, or None.
+    """Return why the new flow is refused, or None if the upstream may get it.
 
-    A balancer with an old view may send flows of another service, whose upstream had this address
-    before, or of a route that was dropped. Each would run where it must not.
+    A balancer with an outdated view may send flows of another service whose upstream had this
+    address before, or flows of a route that has been removed.
     """
     if message.service != sidecar.service_key:
         return messages.Reason.OTHER_SERVICE
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -1,4 +1,4 @@
-"""Remember the flows of one upstream, as its sidecar has seen them from both sides."""
+"""Track the flows of one upstream and its requests in progress from the packets of both sides."""
 
 import dataclasses
 import typing
@@ -7,52 +7,55 @@
 from ebonystile.core.carrying import messages, packet
 
 MAX_FLOWS = 50_000
-"""Flows remembered at once; an upstream of the users' sites takes 2,000."""
+"""Bound on the size of the flow table; the oldest flow makes room for a new one."""
 
 LINGER_MS = 3_000
-"""How long a flow is remembered after both sides closed it, in ms: packets sent again may follow,
-at intervals of up to 1.6 s."""
+"""How long a flow stays in the table after both sides closed it, in ms: retransmitted packets may
+follow, at intervals of up to 1.6 s."""
 
 OFFER_MS = 2_000
-"""How long an accepted flow waits for its caller, in ms: a caller gives up after 1.4 s."""
+"""How long an accepted flow waits for its caller's first packet, in ms: a caller gives up after
+1.4 s."""
 
 PENDING_MS = 150
-"""How long a new flow counts as a request about to come, in ms."""
+"""How long a new flow counts as a running request before its first data arrives, in ms."""
 
 STUCK_MS = 2_000
 STUCK_TIMES = 10
-"""When a request counts as stuck: after 2 s, or ten times the usual time if that is longer. Its
-answer was lost, or a grey upstream lets it hang."""
+"""A request counts as failed after 2 s, or ten times the usual latency if that is longer: its
+answer was lost, or a faulty upstream never sends one."""
 
 RECENT = 16
-"""Requests over which the time to their answers is averaged."""
+"""Window of the moving average of the latency, in requests."""
 
 TOO_QUICK = 8
-"""How many times quicker than usual an answer is that can't be one.
+"""An answer that is this many times faster than the average counts as an error.
 
-A grey upstream answers with an error at once; it is idle and quick, and would get all new flows.
-Where a service answers some requests out of a cache, all its upstreams do, and none looks worse.
+An upstream that answers with an error at once looks idle and fast, and would attract all new flows.
+Where a service answers some requests from a cache, all its upstreams are affected alike.
 """
 
 RECENT_RESULTS = 8
-"""Results over which their goodness is averaged: few, as a grey upstream fails half of them."""
+"""Window of the moving average of the success rate, in requests."""
 
 FORGIVE_MS = 5_000
-"""Half-life of bad results, in ms: an upstream that gets no more flows must be tried again."""
+"""Half-life of the failure rate, in ms, so that an upstream without new flows is tried again."""
 
 POSITIONS = 1 << 32
 OFFER_SPAN = 1 << 16
-"""How far the caller's first packets may acknowledge beyond the upstream's first position."""
+"""Distance from the upstream's initial sequence number that a caller's first packets acknowledge at
+most."""
 
 
 @dataclasses.dataclass(slots=True)
 class Held:
     """One flow; times in ms.
 
-    `offered` is the upstream's first position once it accepted, `held` says that the caller's
-    packets were taken here. `given_at` is when an upstream that may be gone was first given a
-    packet that it has not answered. `asked_end` and `answered_end` are the positions after the last
-    data of either side.
+    `source` is the balancer that sent the flow's latest packet. `offered` is the upstream's initial
+    sequence number once it has accepted the flow. `held` is set when the upstream has received
+    packets of the caller beyond the opening one. `given_at` is when an upstream without an entry
+    got the first packet that it has not answered. `asked_end` and `answered_end` are the sequence
+    numbers after the last data of the caller and of the upstream.
     """
 
     source: view.Address
@@ -68,15 +71,15 @@
 
     @property
     def closed(self) -> bool:
-        """Tell whether both sides have closed the flow."""
+        """Return whether both sides have closed the flow."""
         return self.closed_by_caller and self.closed_by_upstream
 
 
 class Results:
-    """How long requests took of late and how many were answered at all.
+    """Moving averages of the latency and the failure rate of one upstream's requests.
 
-    `latency` in ms; `bad` is the share of bad results at the time `at` (ms). `on_answer`, if set,
-    is called with the time (ms) and how long the request took (ms).
+    `latency` is in ms; `bad` is the failure rate at the time `at` (ms). `on_answer`, if set, is
+    called with the time and the latency of each answer, both in ms.
     """
 
     def __init__(self) -> None:
@@ -86,7 +89,7 @@
         self.on_answer: typing.Callable[[int, int], None] | None = None
 
     def answered(self, since: int, now: int) -> None:
-        """Note a request that was answered."""
+        """Record the answer to a request sent at `since`; one that is far too fast is a failure."""
         took = now - since
         if self.on_answer is not None:
             self.on_answer(now, took)
@@ -97,22 +100,26 @@
         self.note(0.0, now)
 
     def failed(self, now: int) -> None:
-        """Note a request whose flow ended without an answer."""
+        """Record a request that got no answer."""
         self.note(1.0, now)
 
     def note(self, bad: float, now: int) -> None:
-        """Take one result into the mean."""
+        """Add one result to the failure rate: 1.0 for a failure, 0.0 for an answer."""
         before = 1 - self.good_at(now)
         self.bad = before + (bad - before) / RECENT_RESULTS
         self.at = now
 
     def good_at(self, now: int) -> float:
-        """Return the share of good results."""
+        """Return the success rate, with earlier failures decayed."""
         return 1 - self.bad * 0.5 ** ((now - self.at) / FORGIVE_MS)
 
 
 class Table:
-    """The flows of one upstream and the work that they mean."""
+    """The flows of one upstream and its requests in progress.
+
+    `busy` holds when the running request of a flow arrived, `pending` when a flow without a request
+    was opened, both in ms and oldest first.
+    """
 
     def __init__(self) -> None:
         self.results = Results()
@@ -121,7 +128,7 @@
         self.pending: dict[packet.Flow, int] = {}
 
     def open(self, flow: packet.Flow, source: view.Address, now: int) -> Held:
-        """Note an opening packet that goes to the upstream now."""
+        """Record an opening packet that is sent to the upstream, and return its flow's state."""
         held = self.flows.get(flow)
         if held is None:
             held = self.add(flow, source, now)
@@ -129,20 +136,20 @@
         return held
 
     def add(self, flow: packet.Flow, source: view.Address, now: int) -> Held:
-        """Remember a flow."""
+        """Add a flow; drop the oldest one if the table is full."""
         if len(self.flows) >= MAX_FLOWS:
             self.forget(next(iter(self.flows)))
         held = self.flows[flow] = Held(source, now, now)
         return held
 
     def forget(self, flow: packet.Flow) -> None:
-        """Forget a flow and its work."""
+        """Remove a flow and its request, if any."""
         self.flows.pop(flow, None)
         self.busy.pop(flow, None)
         self.pending.pop(flow, None)
 
     def from_caller(self, held: Held, received: packet.Packet, now: int) -> None:
-        """Note a packet that goes to the upstream: new data means work there."""
+        """Record a packet that is sent to the upstream: new data starts a request."""
         held.seen_at = now
         held.held = True
         if received.closes:
@@ -161,7 +168,7 @@
             self.pending.pop(received.flow, None)
 
     def from_upstream(self, held: Held, sent: packet.Packet, now: int) -> None:
-        """Note a packet of the upstream: data means that its work for the flow is done."""
+        """Record a packet of the upstream: data completes the flow's request."""
         held.seen_at = now
         if sent.accepts:
             held.offered = sent.sequence
@@ -184,7 +191,7 @@
             self.pending.pop(sent.flow, None)
 
     def holding(self, flow: packet.Flow, acknowledged: int) -> messages.Holding:
-        """Return what is known of the flow at this upstream."""
+        """Return whether the upstream holds the flow, as far as the table shows."""
         held = self.flows.get(flow)
         if held is None:
             return messages.Holding.ABSENT
@@ -197,7 +204,7 @@
         return messages.Holding.OFFERED
 
     def running(self, now: int) -> int:
-        """Return the requests that run at the upstream or are about to."""
+        """Return the number of running requests and of flows about to send one; fail stuck ones."""
         stuck = max(STUCK_MS, STUCK_TIMES * self.results.latency)
         for _ in drop_older(self.busy, now - stuck):
             self.results.failed(now)
@@ -205,7 +212,7 @@
         return len(self.busy) + len(self.pending)
 
     def sweep(self, idle: int, now: int) -> int:
-        """Forget flows that ended or were silent for `idle` ms; return how many."""
+        """Remove flows that ended or were idle for `idle` ms; return how many."""
         over = [flow for flow, held in self.flows.items() if now >= end_of_memory(held, idle)]
         for flow in over:
             self.forget(flow)
@@ -213,16 +220,15 @@
 
 
 def ends_unanswered(held: Held, sent: packet.Packet) -> bool:
-    """Tell whether the upstream closes the flow without having sent an answer.
+    """Return whether the upstream closes the flow without having sent an answer.
 
-    Packets overtake one another: a close that comes before the answer's data stands behind it in
-    the stream.
+    Packets may be reordered: a close that overtakes the answer has a higher sequence number.
     """
     return sent.closes and sent.sequence == held.answered_end
 
 
 def drop_older(times: dict[packet.Flow, int], oldest: float) -> list[packet.Flow]:
-    """Drop the flows noted before `oldest` (ms) from times in their order; return them."""
+    """Remove the flows with times before `oldest` (ms) and return them; `times` is in order."""
     dropped = []
     while times:
         flow, since = next(iter(times.items()))
@@ -234,7 +240,7 @@
 
 
 def end_of_memory(held: Held, idle: int) -> int:
-    """Return when the flow may be forgotten, in ms."""
+    """Return when the flow may be removed from the table, in ms."""
     if held.closed:
         return held.seen_at + LINGER_MS
     if not held.held:
@@ -243,8 +249,8 @@
 
 
 def continues(offered: int, acknowledged: int) -> bool:
-    """Tell whether a caller that acknowledges this position went on with that offer.
+    """Return whether a caller's acknowledgement fits the initial sequence number that was offered.
 
-    Copies of an opening packet may be accepted by two upstreams; the caller goes on with one.
+    Two upstreams may accept copies of one opening packet; the caller continues with one of them.
     """
     return (acknowledged - offered) % POSITIONS < OFFER_SPAN
