--- a/src/ebonystile/core/carrying/announcing.py
+++ b/src/ebonystile/core/carrying/announcing.py
@@ -1,10 +1,11 @@
-"""Make sidecars known that the store's list does not show.
-
-An upstream that lives may have no entry: the store was away for longer than entries last, or can't
-hear that upstream. A balancer that has just started would find its flows nowhere, and one that
-starts while the store is away would know no sidecar at all. So sidecars tell the seeds, the few
-balancers whose addresses stand in everybody's settings, and the witnesses, a few sidecars that
-everybody finds in the list; balancers ask those.
+"""Announce sidecars that are missing in the store.
+
+A running upstream has no entry in the store after an outage of the store that was longer than the
+lease of its entry, or while it can't reach the store. A balancer that starts then would not find
+its flows, and one that starts during an outage would know no sidecar. So sidecars announce
+themselves to the seeds (a few balancers whose addresses are in the settings of all processes) and
+to the witnesses (a few sidecars that all processes select alike from the list of upstreams), and
+balancers ask seeds and witnesses.
 """
 
 import dataclasses
@@ -14,45 +15,47 @@
 from ebonystile.core.carrying import effects, fleet, messages
 
 UNLISTED_EVERY_MS = 200
-"""How often a sidecar whose upstream has no entry says so, in ms: at every tick."""
+"""Interval of the announcements of a sidecar whose upstream has no entry, in ms: every tick."""
 
 UNLISTED_FOR_MS = 10_000
-"""How long it does, in ms: an upstream that reaches the store is listed within about 2 s."""
+"""How long a sidecar whose upstream has no entry announces itself, in ms. An upstream that can
+reach the store has an entry again within about 2 s."""
 
 SEED_KEEPS_MS = 1_000
-"""How long a seed remembers an announcement, in ms: five of them. A sidecar may end together with
-its instance soon after it has announced itself, and whoever asks it then waits for nothing."""
+"""How long a seed or witness keeps an announcement, in ms: five intervals. Balancers wait for the
+answers of announced sidecars, so one that has ended must be dropped soon."""
 
 ASKER_KEEPS_MS = 3_000
-"""How long a balancer asks the sidecars that a seed has named, in ms: what was lost with all
-processes is looked for in the first seconds."""
+"""How long a balancer keeps the sidecars without an entry that a seed or witness named, in ms.
+Most searches for flows come in the first seconds after a restart of all processes."""
 
 RELAY_EVERY_MS = 1_000
-"""How often a sidecar that others may read from says so, in ms."""
+"""Interval of the announcements of a relay, in ms."""
 
 SEED_LISTENED_MS = 2 * UNLISTED_EVERY_MS
-"""How long a seed must have listened, and a balancer had its view, in ms, for the seed's answer to
-confirm it: two announcements, of which one may be lost."""
+"""How long a seed must have received announcements, and a balancer had a current view, before the
+seed's answer confirms that view, in ms: two intervals, as one announcement may be lost."""
 
 WITNESSES, WITNESSES_AGREED = 4, 3
-"""Sidecars that are told of those without an entry, and how many of them must agree that they have
-heard of all. An entry more or less in somebody's list changes one of the four at most."""
+"""Number of witnesses, and how many of them must answer to confirm a view. One entry more or less
+in a process's list of upstreams changes at most one of its witnesses."""
 
 WITNESS_LISTENED_MS = 500
-"""How long a witness must have listened, its list unchanged, in ms: instances that lost power
-together start within 300 ms of one another, and one of two announcements may be lost."""
+"""How long a witness must have received announcements, with no entry added, for its answer to
+count, in ms. Instances restart within 300 ms of each other after a common power loss, and one of
+two announcements may be lost."""
 
 ASK_EVERY_MS = 100
 ASK_FOR_MS = 1_000
-"""How often, and for how long, a balancer asks seeds and witnesses, in ms; by then its view is
-confirmed by its age."""
+"""Interval at which a balancer asks seeds and witnesses, and for how long it does, in ms. After
+that time the age of the view confirms it."""
 
 MOST_TOLD = 128
-"""Sidecars named in one answer, 6 bytes each."""
+"""Bound on the sidecars in one answer, 6 bytes each."""
 
 
 class Announcer:
-    """When one sidecar announces itself; `relays` is set where others may read from it."""
+    """The announcements of one sidecar; `relays` is set if it is a relay."""
 
     def __init__(self, seeds: tuple[view.Address, ...]):
         self.seeds = seeds
@@ -63,7 +66,7 @@
     def due(
         self, listed: bool, now: int, witnesses: tuple[view.Address, ...] = ()
     ) -> list[effects.Effect]:
-        """Return the announcements to be sent now, at a tick or after a change of the view."""
+        """Return the announcements due now; called at each tick and change of the view."""
         if listed:
             self.unlisted_since = None
         elif self.unlisted_since is None:
@@ -81,17 +84,17 @@
         return [effects.Send(address, announced) for address in told]
 
     def pause(self) -> int:
-        """Return the time between two announcements, in ms."""
+        """Return the interval between two announcements, in ms."""
         return RELAY_EVERY_MS if self.unlisted_since is None else UNLISTED_EVERY_MS
 
 
 @dataclasses.dataclass(slots=True)
 class Confirmation:
-    """What seeds and witnesses say to one balancer about sidecars without an entry.
+    """Whether seeds or witnesses have confirmed that one balancer's view lacks no sidecar.
 
-    `confirmed` is set once a seed that has listened for long enough, or most of the witnesses, have
-    answered since the view is there. They are asked next at `ask_at` and no more from `give_up_at`
-    on; `seeds_from` is when a seed's word may be taken, all in ms.
+    `confirmed` is set once a seed, or enough witnesses, that have received announcements for long
+    enough have answered since the view became current. The next questions are due at `ask_at`, the
+    last ones before `give_up_at`; seeds are asked from `seeds_from` on. Times are in ms.
     """
 
     seeds: tuple[view.Address, ...]
@@ -104,7 +107,7 @@
     agreed: set[view.Address] = dataclasses.field(default_factory=set)
 
     def view_began(self, now: int) -> None:
-        """Note that the view is the store's present word from now on."""
+        """Record that the view is current from now on, and start asking."""
         self.confirmed = False
         self.agreed.clear()
         self.ask_at = now
@@ -112,7 +115,7 @@
         self.give_up_at = now + ASK_FOR_MS
 
     def ask(self, witnesses: tuple[view.Address, ...], now: int) -> list[effects.Effect]:
-        """Return the questions that are due, none once there was an answer that holds."""
+        """Return the questions that are due; none once the view is confirmed."""
         if self.ask_at is None or self.ask_at > now:
             return []
         by_seeds = now >= self.seeds_from
@@ -126,7 +129,10 @@
     def take(
         self, source: view.Address, listening: int, witnesses: tuple[view.Address, ...]
     ) -> None:
-        """Take the word of a seed or a witness that has listened for so long, in ms."""
+        """Handle the answer of a seed or witness.
+
+        `listening` is for how long it has received announcements, in ms.
+        """
         if self.ask_at is None:
             return
         if source in self.seeds and listening >= SEED_LISTENED_MS:
@@ -138,28 +144,28 @@
             self.settle()
 
     def settle(self) -> None:
-        """Take the view for whole, and ask no more."""
+        """Mark the view as confirmed, and stop asking."""
         self.confirmed = True
         self.ask_at = None
 
 
 def witnesses_of(known: fleet.Fleet) -> tuple[view.Address, ...]:
-    """Return the sidecars that everybody with this list tells and asks."""
+    """Return the witnesses: the sidecars with the lowest keys, the same for equal lists."""
     listed = known.by_address.values()
     return tuple(u.address for u in heapq.nsmallest(WITNESSES, listed, key=lambda u: u.key))
 
 
 def note(known: fleet.Fleet, address: view.Address, until: int) -> None:
-    """Remember a sidecar without an entry, until a time in ms, with the upstreams that may live."""
+    """Add a sidecar without an entry to the upstreams that may be alive, until a time in ms."""
     host, port = address
     known.note_departed(fleet.make_upstream(f"{host}:{port}", 0, "", address, "", 1), until)
 
 
 def answer(known: fleet.Fleet, listening: int) -> messages.AnswerUnlisted:
-    """Return what this process, which has listened for so many ms, tells of those without an entry.
+    """Return the answer that names the sidecars without an entry; `listening` is in ms.
 
-    If there are more than one answer holds, it says that it has not listened: the asker must not
-    take its view for confirmed, and tell callers of those left out that their flows are gone.
+    If there are more than fit, `listening` is 0 in the answer: it must not confirm the balancer's
+    view, or flows at the sidecars left out would be reset.
     """
     told = [upstream.address for upstream in known.perhaps_alive()]
     heard_all = len(told) <= MOST_TOLD
--- a/src/ebonystile/core/carrying/reading.py
+++ b/src/ebonystile/core/carrying/reading.py
@@ -1,10 +1,9 @@
-"""Decide which call of the platform's store comes next, and how far the view can be trusted.
+"""Schedule a process's reads and watches of the platform's store, and track if its view is current.
 
-The store is read once in full and then watched from the revision of the first page, so that what
-changed while the pages came is seen again. At a start an old state of it will do, which costs a
-tenth of a call: the watch that follows at once brings what is newer. A call has a short limit of
-its own: a connection may fall silent for good, and a process that waits on it would route by an
-old view.
+The store is read once in full and then watched from the revision of the first page, so changes
+made while the pages were read are seen. At startup a stale read is enough, which costs a tenth of a
+consistent one: the watch that follows at once brings newer changes. Every call has a short timeout,
+as the process routes by an old view while it waits on a dead connection.
 """
 
 import dataclasses
@@ -13,39 +12,39 @@
 from ebonystile.core import rng
 
 READ_MS = 1_500
-"""Longest time for a plain call, in ms: the store answers in 4 ms, at its slowest in 300."""
+"""Timeout of a plain call, in ms; the store usually answers in 4 ms, at worst in 300 ms."""
 
 BEGIN_MS = 600
-"""How long the answer of a plain call may take to begin, in ms, so that a silent store holds up no
-start. The limit of the whole call is longer: a large configuration takes its time on the
-narrowest links."""
+"""Timeout for the first byte of a plain call's answer, in ms, so that an unresponsive store does
+not delay startup. The whole call may take longer, as a large configuration is slow on narrow links.
+"""
 
 WATCH_MS = 5_000
-"""How long a watch waits for news, in ms. A lost answer leaves the process without news until the
-watch is over, so this and its margin must end before a change has to be in force."""
+"""How long a watch waits for changes, in ms. If its answer is lost, the process learns of changes
+only after the watch and `MARGIN_MS`, which must be sooner than a change has to be in force."""
 
 MARGIN_MS = 1_000
-"""Time that a watch may take beyond its wait, in ms."""
+"""How much longer than its wait a watch may take, in ms."""
 
 RELAY_READ_MS = 600
-"""Longest time for a plain call of a relay, in ms."""
+"""Timeout of a plain call to a relay, in ms."""
 
 RELAY_WATCH_MS = 1_000
 RELAY_MARGIN_MS = 400
-"""How long a watch of a relay waits, and may take beyond that, in ms. It costs no priced call, and
-a relay that froze or was cut off must be replaced well before a change has to be in force."""
+"""How long a watch of a relay waits, and how much longer it may take, in ms. Relays are free to
+call, and one that hangs or is cut off must be replaced well before a change has to be in force."""
 
 GATHER_MS = 150
-"""Pause after a watch that brought news, in ms: every watch that a change wakes is a priced call,
-and changes come in groups."""
+"""Pause after a watch that returned changes, in ms. Changes come in groups, and each watch that
+returns one is charged as a call."""
 
 BACKOFF_LEAST_MS = 100
 BACKOFF_MOST_MS = 1_000
-"""Pause after a failed call, in ms, doubled with each further failure."""
+"""Range of the pause after a failed call, in ms; it doubles with each further failure."""
 
 
 class Kind(enum.Enum):
-    """What a call asks for; the configuration comes with the zones that operators drain."""
+    """What a call requests; the configuration includes the zones that operators have drained."""
 
     CONFIGURATION = "configuration"
     ENTRIES = "entries"
@@ -54,10 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call; `after` continues a list, `revision` a watch until `wait_until` (ms).
+    """One call to the store or to a relay; times in ms.
 
-    `deadline` is when the call counts as failed, `begin_by` when it does if no byte of an answer
-    has come, both in ms. `may_be_old` lets the store answer with a state of some seconds ago.
+    A list continues after the key `after`; a watch waits for changes after `revision` until
+    `wait_until`. The call has failed if it is not complete at `deadline`, or if no byte of the
+    answer has arrived at `begin_by`. `may_be_old` permits a stale read, of some seconds ago.
     """
 
     kind: Kind
@@ -70,7 +70,7 @@
 
 
 class Reader:
-    """The state of reading; the shell makes the calls that `next_call` returns, one at a time."""
+    """The state of reading the store; the process makes the calls of `next_call` one at a time."""
 
     def __init__(self, randomness: rng.Rng, now: int):
         self.randomness = randomness
@@ -87,18 +87,18 @@
         self.may_be_old = True
 
     def start_over(self) -> None:
-        """Read everything again: the history needed to go on is gone."""
+        """Schedule a full, consistent read."""
         self.may_be_old = False
         self.todo = [(Kind.CONFIGURATION, ""), (Kind.ENTRIES, "")]
         self.revision = None
 
     @property
     def fresh(self) -> bool:
-        """Tell whether the view is whole and the store's last call was answered."""
+        """Return whether the view is complete and current, and the last call succeeded."""
         return self.complete and not self.failures and not self.provisional
 
     def next_call(self, now: int, *, relay: bool = False) -> Call | None:
-        """Return the call to be made now of the store or of a relay, or None before `next_at`."""
+        """Return the call to be made now to the store or a relay, or None before `next_at`."""
         if now < self.next_at:
             return None
         if self.todo:
@@ -108,15 +108,15 @@
             return Call(kind, now + limit, after, begin_by=begin_by, may_be_old=self.may_be_old)
         until = now + (RELAY_WATCH_MS if relay else WATCH_MS)
         if self.provisional:
-            # Until this watch is answered the view is not the store's present word.
+            # The view may be stale until a watch has been answered, so this one must not wait.
             until = now
         margin = RELAY_MARGIN_MS if relay else MARGIN_MS
         return Call(Kind.WATCH, until + margin, "", self.revision or 0, until)
 
     def listed(self, revision: int, next_after: str, now: int, *, current: bool = True) -> None:
-        """Note a page of a list that ended at the key `next_after`, empty for the last one.
+        """Record that a page of a list was read; `next_after` is its last key, empty at the end.
 
-        `current` is False for the word of a peer that does not read the store itself.
+        `current` is False if the page came from a process that does not read the store itself.
         """
         self.answered(now)
         self.provisional = not current or self.may_be_old
@@ -130,14 +130,14 @@
         self.next_at = now
 
     def watched(self, revision: int, news: bool, now: int, *, relay: bool = False) -> None:
-        """Note the end of a watch."""
+        """Record that a watch was answered; `news` tells if it returned changes."""
         self.answered(now)
         self.provisional = False
         self.revision = max(self.revision or 0, revision)
         self.next_at = now + (GATHER_MS if news and not relay else 0)
 
     def answered(self, now: int) -> None:
-        """Note that the store is there."""
+        """Record a successful call."""
         if self.store_failed:
             self.returned_at = now
         self.store_failed = False
@@ -145,15 +145,15 @@
         self.failing_since = None
 
     def forgotten(self, now: int) -> None:
-        """Note that the store has no history back to our revision."""
+        """Record that the store has compacted our revision, and start over."""
         self.answered(now)
         self.start_over()
         self.next_at = now
 
     def failed(self, now: int, *, store: bool = True, at_once: bool = False) -> None:
-        """Note a call without a usable answer; `at_once` if another source can be asked now.
+        """Record a failed call; `at_once` skips the pause, as another source can be asked now.
 
-        `store` tells whether it was for want of the store, and not just of a relay.
+        `store` tells whether the store failed, and not only a relay.
         """
         self.store_failed = self.store_failed or store
         if self.failing_since is None:
@@ -165,11 +165,11 @@
             self.next_at += pause // 2 + int(self.randomness.uniform(0, pause))
 
     def distrust(self, now: int) -> None:
-        """Read everything anew, and trust the view no more until that is done."""
+        """Read everything again, and do not count the view as fresh until that is done."""
         self.complete = False
         self.hurry(now)
 
     def hurry(self, now: int) -> None:
-        """Read everything anew, at once: a peer has shown something newer."""
+        """Read everything again at once, as a peer has a newer configuration."""
         self.start_over()
         self.next_at = now
--- a/src/ebonystile/core/carrying/sourcing.py
+++ b/src/ebonystile/core/carrying/sourcing.py
@@ -1,10 +1,10 @@
-"""Choose where a process reads: a few of each zone watch the store, and the rest watch those few.
+"""Choose the source a process reads the store's contents from: the store itself or a relay.
 
-Every change wakes every watch of the store, and each is a priced call: with 72 processes watching
-for themselves, calls were the largest price of a day. So the sidecars of a zone that come first by
-a hash of their addresses watch the store, and serve what they read to everybody else. No election
-is held: whoever disagrees for a moment reads more than it must. A reader passes over a source that
-fails, and in the end asks the store itself.
+Each change completes every watch of the store, and each is charged as a call. So only a few
+sidecars of each zone, the first by a hash of their addresses, watch the store and act as relays for
+all other processes. There is no election: processes with different lists of upstreams may choose
+different watchers for a while, which only costs some calls. A source that fails is skipped for a
+time, and a process whose relays all fail reads from the store.
 """
 
 import dataclasses
@@ -16,38 +16,39 @@
 from ebonystile.core.carrying import fleet
 
 WATCHERS = 2
-"""Least number of sidecars of each availability zone that watch the store."""
+"""Minimum number of sidecars in each availability zone that watch the store."""
 
 SIDECARS_EACH = 50
-"""Sidecars of a zone for each watcher, where they are more than 100.
+"""Sidecars of a zone per watcher, in zones with more than 100.
 
-A relay holds a connection for each reader and sends it every change, and its server drops the
-oldest connection beyond 256. 50 leave room for the readers of relays that have failed.
+A relay keeps one connection for each reader, and its server closes the oldest beyond 256. The
+margin is for the readers of relays that have failed.
 """
 
 MAX_ANNOUNCED = 8
-"""Sidecars kept that offered themselves, the latest; each zone has two that do."""
+"""Bound on the announced relays that are kept, the latest ones; each zone has two."""
 
 RELAY_BAD_MS = 2_000
-"""How long a relay that failed is passed over, in ms."""
+"""How long a relay is skipped after a failed call, in ms."""
 
 STORE_BAD_MS = 2_000
-"""How long the store is passed over after a failed call while a relay has its word, in ms."""
+"""How long the store is skipped after a failed call while a relay can be read, in ms."""
 
 STORE = None
-"""The source that is the store itself; every other source is a relay's address."""
+"""The source that stands for the store itself; any other source is the address of a relay."""
 
 Source = view.Address | None
 
 
 @dataclasses.dataclass(slots=True)
 class Sources:
-    """Where one process may read, best first; `bad_until` holds those that failed, in ms.
+    """The sources that one process may read from.
 
-    `own` is this process's address, `seeds` whom to ask while nobody else is known. `index` is that
-    of the fleet by which the relays were worked out. `announced` are sidecars that offered
-    themselves, for a process that has no view; `leads` tells that this one offers itself, as the
-    first few of its zone do.
+    `own` is this process's address. `relays` are the watchers of all zones, best first, computed
+    from the fleet's `index`. `announced` are relays that announced themselves, and `seeds` the
+    addresses from the settings; both are used until the process has a view. `is_watcher` is set if
+    this process watches the store, `leads` if it also announces itself as a relay, as the first few
+    of each zone do. `bad_until` is when a failed source may be used again, in ms.
     """
 
     own: view.Address
@@ -61,10 +62,10 @@
     bad_until: dict[Source, int] = dataclasses.field(default_factory=dict)
 
     def refresh(self, known: fleet.Fleet) -> None:
-        """Work out anew who watches the store, if the list has changed.
+        """Recompute the watchers if the list of upstreams has changed.
 
-        Every watch that ends asks for it, once a second at least, and to sort thousands of
-        upstreams each time would cost more than all else that an idle process does.
+        This is called after every watch, so an unchanged list of thousands of upstreams must not be
+        sorted again.
         """
         if known.index is self.index:
             return
@@ -84,18 +85,18 @@
         self.relays = tuple(address for address in (*near, *far) if address != self.own)
 
     def offer(self, address: view.Address) -> None:
-        """Note a sidecar that offers what it has read."""
+        """Add a relay that has announced itself."""
         if address not in self.announced:
             self.announced = (*self.announced, address)[-MAX_ANNOUNCED:]
 
     def preference(self, relay: view.Address) -> int:
-        """Return the place of a relay for this process, so that readers spread over a zone's."""
+        """Return the rank of a relay for this process; readers spread evenly over the relays."""
         return xxhash.xxh3_64_intdigest(f"{self.own}{relay}".encode())
 
     def ordered(self, complete: bool) -> list[Source]:
-        """Return all sources, the best first; `complete` tells whether a whole view is held.
+        """Return all sources, best first; `complete` tells whether the process has a full view.
 
-        At the start nothing is known but the seeds, and the store's own word is worth two calls.
+        At startup the store comes first: its data is current, and no relay is known yet.
         """
         if not complete:
             return [STORE, *self.relays, *self.announced, *self.seeds]
@@ -104,7 +105,7 @@
         return [*self.relays, STORE]
 
     def choose(self, complete: bool, now: int) -> Source:
-        """Return the best source that has not just failed, else the one longest untried."""
+        """Return the best source that has not failed recently, else the one that failed first."""
         ordered = self.ordered(complete)
         good = [source for source in ordered if self.bad_until.get(source, 0) <= now]
         if good:
@@ -112,23 +113,23 @@
         return min(ordered, key=lambda source: self.bad_until[source])
 
     def others(self, complete: bool, now: int) -> bool:
-        """Tell whether a source is left that has not just failed."""
+        """Return whether there is a source that has not failed recently."""
         return any(self.bad_until.get(s, 0) <= now for s in self.ordered(complete))
 
     def failed(self, source: Source, now: int) -> None:
-        """Pass over a source for a while."""
+        """Skip a source for a while after a failed call."""
         self.bad_until[source] = now + (STORE_BAD_MS if source is STORE else RELAY_BAD_MS)
 
     def worked(self, source: Source) -> None:
-        """Note that a source answers."""
+        """Record that a source has answered."""
         self.bad_until.pop(source, None)
 
 
 def watchers(sidecars: int) -> int:
-    """Return how many of a zone's sidecars watch the store."""
+    """Return how many of the sidecars of a zone watch the store."""
     return max(WATCHERS, math.ceil(sidecars / SIDECARS_EACH))
 
 
 def place(upstream: fleet.Upstream) -> tuple[int, int]:
-    """Return the order in which the sidecars of a zone watch the store, those leaving last."""
+    """Return the sort key by which a zone's watchers are selected; leaving sidecars come last."""
     return (upstream.leaving, upstream.key)
--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -1,7 +1,7 @@
-"""Write and read the datagrams between balancers and sidecars about carried flows.
+"""Encode and decode the datagrams between balancers and sidecars about carried flows.
 
-One byte names the message; a fixed head and, where a packet goes along, its bytes follow. All of
-them are smaller than the smallest datagram that a network must carry whole with a full packet.
+The first byte is the type of the message. A header of fixed size follows, then the bytes of the
+packet in the message, if any. Datagrams stay below the size at which a network may fragment them.
 """
 
 import functools
@@ -44,12 +44,12 @@
 """Largest number that a field of two bytes holds."""
 
 GOOD_SCALE = 255
-"""What stands for all results being good in a field of one byte."""
+"""The value of a one-byte field that stands for a success rate of 1."""
 
 
 @functools.singledispatch
 def pack(message: typing.Any) -> bytes:
-    """Return the datagram of a message."""
+    """Return a message encoded as a datagram."""
     raise TypeError(f"no datagram for {type(message).__name__}")
 
 
@@ -94,7 +94,7 @@
 
 
 def fields_of(load: messages.Load) -> tuple[int, int, int, int, int, int]:
-    """Return a load as the last fields of an answer."""
+    """Return the fields that encode a load at the end of an answer."""
     return (
         min(load.running, MOST),
         load.flows,
@@ -106,7 +106,7 @@
 
 
 def marks_of(load: messages.Load) -> int:
-    """Return the marks of a load as bits."""
+    """Return the bit flags of a load."""
     marks = ACCEPTING * load.accepting | SILENT * load.silent
     return marks | SATURATED * load.saturated | FULL * load.full
 
@@ -114,7 +114,7 @@
 def load_of(
     running: int, flows: int, slots: int, latency: int, good: int, marks: int
 ) -> messages.Load:
-    """Return the load that the last fields of an answer hold."""
+    """Return the load decoded from the last fields of an answer."""
     accepting, silent = bool(marks & ACCEPTING), bool(marks & SILENT)
     saturated, full = bool(marks & SATURATED), bool(marks & FULL)
     share = good / GOOD_SCALE
@@ -160,13 +160,13 @@
 
 
 def unlisted_bytes(address: view.Address) -> bytes:
-    """Return the address of one sidecar of an answer."""
+    """Return the encoded address of one sidecar."""
     host, port = address
     return UNLISTED.pack(socket.inet_aton(host), port)
 
 
 def unpack(data: bytes) -> messages.Message:
-    """Return the message in a datagram; raise `DatagramError` if there is none."""
+    """Return the message in a datagram; raise `DatagramError` if it is malformed."""
     try:
         return READERS[data[0]](data)
     except (IndexError, KeyError, struct.error, ValueError) as error:
@@ -174,69 +174,69 @@
 
 
 def read_ask(data: bytes) -> messages.Ask:
-    """Return the question."""
+    """Return the `Ask` message in the datagram."""
     _, flow, version, acknowledged = ASK.unpack(data)
     return messages.Ask(flow, version, acknowledged)
 
 
 def read_answer(data: bytes) -> messages.Answer:
-    """Return the answer."""
+    """Return the `Answer` message in the datagram."""
     _, flow, version, revision, holding, *load = ANSWER.unpack(data)
     return messages.Answer(flow, version, messages.Holding(holding), load_of(*load), revision)
 
 
 def read_ask_many(data: bytes) -> messages.AskMany:
-    """Return the questions."""
+    """Return the `AskMany` message in the datagram."""
     _, number, version = ASK_MANY.unpack_from(data)
     questions = tuple(QUESTION.iter_unpack(data[ASK_MANY.size :]))
     return messages.AskMany(number, version, questions)
 
 
 def read_answer_many(data: bytes) -> messages.AnswerMany:
-    """Return the answers."""
+    """Return the `AnswerMany` message in the datagram."""
     _, number, version, revision, *load = ANSWER_MANY.unpack_from(data)
     holdings = tuple(HOLDINGS[byte] for byte in data[ANSWER_MANY.size :])
     return messages.AnswerMany(number, version, holdings, load_of(*load), revision)
 
 
 def read_open(data: bytes) -> messages.Open:
-    """Return the request to open a flow."""
+    """Return the `Open` message in the datagram."""
     _, service, version = OPEN.unpack_from(data)
     return messages.Open(service, version, data[OPEN.size :])
 
 
 def read_probe_many(data: bytes) -> messages.ProbeMany:
-    """Return the packets; raise `ValueError` where one is cut off."""
+    """Return the `ProbeMany` message in the datagram; raise `ValueError` if truncated."""
     raws = []
     at = PLAIN.size
     while at < len(data):
         (length,) = LENGTH.unpack_from(data, at)
         at += LENGTH.size
         if at + length > len(data):
-            raise ValueError("packet cut off")
+            raise ValueError("truncated packet")
         raws.append(data[at : at + length])
         at += length
     return messages.ProbeMany(tuple(raws))
 
 
 def read_return(data: bytes) -> messages.Return:
-    """Return the packet that came back."""
+    """Return the `Return` message in the datagram."""
     _, reason, version = RETURN.unpack_from(data)
     return messages.Return(messages.Reason(reason), version, data[RETURN.size :])
 
 
 def read_announce(data: bytes) -> messages.Announce:
-    """Return the announcement."""
+    """Return the `Announce` message in the datagram."""
     _, marks = ANNOUNCE.unpack(data)
     return messages.Announce(bool(marks & LISTED), bool(marks & RELAYS))
 
 
 def read_answer_unlisted(data: bytes) -> messages.AnswerUnlisted:
-    """Return the answer; raise `ValueError` where sidecars are cut off."""
+    """Return the `AnswerUnlisted` message in the datagram; raise `ValueError` if truncated."""
     _, listening, count = ANSWER_UNLISTED.unpack_from(data)
     packed = data[ANSWER_UNLISTED.size :]
     if len(packed) != count * UNLISTED.size:
-        raise ValueError("sidecars cut off")
+        raise ValueError("truncated list of sidecars")
     sidecars = tuple((socket.inet_ntoa(h), port) for h, port in UNLISTED.iter_unpack(packed))
     return messages.AnswerUnlisted(listening, sidecars)
 
