--- a/src/ebonystile/carrier/__init__.py
+++ b/src/ebonystile/carrier/__init__.py
@@ -1,5 +1,5 @@
-"""The daemons that carry foreign flows: thin shells around the cores in `core.carrying`.
+"""The daemons that carry callers' packets: thin shells around the cores in `core.carrying`.
 
-They start on instances with a sixth of a core, where each library costs time before the first
-packet, so they import what they need and nothing else.
+They run on instances with a sixth of a core, where every import delays the first packet, so they
+import no library that they can do without.
 """
--- a/src/ebonystile/carrier/__main__.py
+++ b/src/ebonystile/carrier/__main__.py
@@ -5,11 +5,11 @@
 import sys
 
 REFUSED = 2
-"""Exit status where the settings or the command line do not hold."""
+"""Exit status for invalid settings or an invalid command line."""
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program that the command line names; return its exit status."""
+    """Run the daemon that the command line names and return its exit status."""
     mind_signals()
     from ebonystile import errors
     from ebonystile.platform import node
@@ -24,18 +24,20 @@
 
 
 def mind_signals() -> None:
-    """Act on signals from the first moment on, before the modules that take time are imported.
+    """Install handlers for SIGHUP and SIGTERM before the slow imports.
 
-    A process that is told of changed settings while it starts would end by the signal's default
-    action, and its upstream's flows would wait for one more start; the settings are read after this
-    anyway. One that is told to end holds nothing yet and ends at once.
+    Until then the default action of SIGHUP would end the process. It is ignored here, as the
+    settings are read later anyway. SIGTERM exits at once, as no state is held yet.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
 
 
 def make_daemon(arguments: list[str], settings):
-    """Return the daemon for its `node.Node`; each program imports only its own modules."""
+    """Return the daemon named by the arguments, with its `node.Node` as settings.
+
+    Each program imports only its own modules.
+    """
     if arguments == ["balancer"]:
         from ebonystile.carrier import balancer
 
--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -1,4 +1,4 @@
-"""Run a balancer of carried flows."""
+"""The balancer daemon: connects the balancer core to sockets, timers and the store feed."""
 
 import typing
 
@@ -12,18 +12,18 @@
     from ebonystile import metrics
 
 LEAST_LEAVE_MS = 1_500
-"""How long a leaving balancer goes on at least, in ms: the fabric asks twice a second and takes it
-out after two refusals."""
+"""Minimum time that a leaving balancer keeps serving, in ms: the fabric checks readiness twice a
+second and removes the balancer after two refusals."""
 
 QUIET_MS = 700
-"""It ends once no packet has come for this long, in ms."""
+"""Time without a caller's packet after which a leaving balancer stops, in ms."""
 
 MOST_LEAVE_MS = 4_000
-"""It ends after this time in any case, in ms, before the platform kills it."""
+"""Maximum time that a leaving balancer runs, in ms; the platform kills it later."""
 
 
 class Daemon(shell.Shell):
-    """The shell of one balancer."""
+    """The shell around a balancer core."""
 
     def __init__(self, settings: node.Node):
         super().__init__("balancer", settings)
@@ -42,22 +42,25 @@
         self.caller_at = clock.now()
 
     def add_metrics(self, held: "metrics.Metrics") -> None:
-        """Add what a balancer holds."""
+        """Register the metrics of a balancer."""
         held.gauge("homes", "Flows whose home is known.", lambda: len(self.core.homes))
         held.gauge("searches", "Searches under way.", lambda: len(self.core.searches))
 
     def ready(self) -> bool:
-        """Tell whether packets can be served: a cut-off balancer's callers go to others."""
+        """Return whether packets can be served.
+
+        A balancer that reaches no sidecar refuses, so that the fabric uses other balancers.
+        """
         return super().ready() and not self.core.unreachable(clock.now())
 
     def on_view(self) -> None:
-        """Let the core use what the store says now."""
+        """Pass the changed view of the store to the core."""
         self.core.set_fresh(self.feed.reader.fresh, clock.now())
         self.core.revision = self.feed.reader.revision or 0
         self.set_alarm()
 
     def on_caller(self, data: bytes, source: view.Address) -> None:
-        """Act on a caller's packet."""
+        """Parse a caller's packet and pass it to the core."""
         received = packets.from_caller(data)
         if received is None:
             self.counts["packets_refused"] += 1
@@ -70,25 +73,25 @@
     def on_message(
         self, message: messages.Message, received: packet.Packet | None, source: view.Address
     ) -> None:
-        """Act on a sidecar's message."""
+        """Pass a message to the core and carry out its effects."""
         self.carry_out(self.core.on_message(message, received, source, self.loop.now))
         self.set_alarm()
 
     def set_alarm(self) -> None:
-        """Wake up when the next search is due."""
+        """Set a timer for the next search that is due."""
         due = self.core.next_due()
         if due is not None and (self.alarm_at is None or due < self.alarm_at):
             self.alarm_at = due
             self.loop.at(due, self.on_alarm)
 
     def on_alarm(self) -> None:
-        """Go on with the searches that are due."""
+        """Advance the searches that are due."""
         self.alarm_at = None
         self.carry_out(self.core.on_due(clock.now()))
         self.set_alarm()
 
     def on_tick(self, now: int) -> None:
-        """Forget what is over, and end once the fabric sends no more."""
+        """Run the core's periodic work; stop a leaving balancer that gets no more packets."""
         self.carry_out(self.core.on_tick(now))
         if self.leaving_since is None:
             return
@@ -98,7 +101,7 @@
             self.loop.stop()
 
     def on_leave(self) -> None:
-        """Go on serving; the readiness page tells the fabric."""
+        """Keep serving; the readiness check already refuses, so the fabric removes the balancer."""
 
     def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
         """Send a packet to the flow's caller."""
--- a/src/ebonystile/carrier/calls.py
+++ b/src/ebonystile/carrier/calls.py
@@ -1,4 +1,4 @@
-"""Make HTTP/1.1 calls of one server from the loop's thread, one at a time, without blocking it."""
+"""A non-blocking HTTP/1.1 client for the event loop: one server, one call at a time."""
 
 import dataclasses
 import selectors
@@ -12,18 +12,18 @@
 
 RECEIVE_BYTES = 65_536
 MAX_BODY = 4 << 20
-"""Largest answer in bytes: a value of the store is at most 1 MB, as base64 and JSON twice that."""
+"""Largest answer in bytes; a value of the store is at most 1 MB, about twice that as base64."""
 
 KEEPALIVE_IDLE_S, KEEPALIVE_GAP_S, KEEPALIVE_COUNT = 1, 1, 2
-"""A connection may fall silent without a reset; keep-alive probes end it within 3 s."""
+"""TCP keep-alive closes a connection to a dead peer within 3 s."""
 
 USER_TIMEOUT_MS = 1_500
-"""How long sent bytes may stay unacknowledged before the connection counts as dead, in ms."""
+"""Time after which unacknowledged bytes close the connection, in ms."""
 
 
 @dataclasses.dataclass(slots=True)
 class Pending:
-    """The call under way; `deadline` in ms, `begin_by` that of the answer's first byte."""
+    """The call in progress: `deadline` of the whole answer, `begin_by` of its first byte (ms)."""
 
     path: str
     deadline: int
@@ -35,7 +35,7 @@
 
 
 class Client:
-    """Calls of one server over one connection, which is made anew after any failure."""
+    """A client of one server over one connection, which is reopened after any failure."""
 
     def __init__(self, owner: loop.Loop, server: view.Address):
         self.owner = owner
@@ -57,9 +57,9 @@
         on_failure: abc.Callable[[str], None],
         begin_by: int | None = None,
     ) -> None:
-        """Ask for a path; exactly one of the two functions is called, by the deadline (ms).
+        """Request a path; exactly one of the two callbacks is called, by the deadline (ms).
 
-        The call fails at `begin_by` (ms) if no byte of an answer has come by then.
+        The call fails at `begin_by` (ms) if no byte of the answer has arrived by then.
         """
         self.pending = Pending(path, deadline, on_answer, on_failure, begin_by)
         self.owner.at(deadline, self.check_deadline)
@@ -68,7 +68,7 @@
         self.start()
 
     def start(self) -> None:
-        """Send the pending call over the connection, a new one if need be."""
+        """Send the pending call, over a new connection if none is open."""
         self.reused = self.socket is not None
         if self.socket is None:
             self.connect()
@@ -80,7 +80,7 @@
         self.want(selectors.EVENT_READ | selectors.EVENT_WRITE)
 
     def connect(self) -> None:
-        """Begin to connect."""
+        """Open a connection, without waiting for it to be established."""
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.socket.setblocking(False)
         for level, option, value in (
@@ -96,11 +96,11 @@
         self.owner.selector.register(self.socket, selectors.EVENT_WRITE, self.on_ready)
 
     def want(self, events: int) -> None:
-        """Let the loop tell when the connection is ready for these events."""
+        """Set the events of the connection that the loop watches for."""
         self.owner.selector.modify(self.socket, events, self.on_ready)
 
     def on_ready(self) -> None:
-        """Go on with sending and receiving."""
+        """Send and receive what the connection allows now."""
         if self.socket is None:
             return
         try:
@@ -115,14 +115,14 @@
             self.fail(f"not HTTP: {error}")
 
     def send(self) -> None:
-        """Send what the connection takes."""
+        """Send as much as the socket buffer takes."""
         sent = self.socket.send(self.unsent)
         self.unsent = self.unsent[sent:]
         if not self.unsent:
             self.want(selectors.EVENT_READ)
 
     def receive(self) -> None:
-        """Take in what has come."""
+        """Read and parse the available data."""
         while self.socket is not None:
             data = self.socket.recv(RECEIVE_BYTES)
             if not data:
@@ -141,17 +141,17 @@
                 return
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the answer's body, for the parser."""
+        """Append a part of the answer's body; called by the parser."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer, for the parser."""
+        """Record the end of the answer; called by the parser."""
         status = self.parser.get_status_code()
         self.complete = status >= 200
         self.keep = self.parser.should_keep_alive()
 
     def finish(self) -> None:
-        """Hand the answer over."""
+        """Pass the complete answer to the caller's callback."""
         done, self.pending = self.pending, None
         status, body = self.parser.get_status_code(), bytes(self.body)
         if not self.keep:
@@ -159,10 +159,10 @@
         done.on_answer(status, body)
 
     def lost(self, reason: str) -> None:
-        """Try once more if a connection kept from an earlier call was closed; else fail.
+        """Retry once if the lost connection was reused from an earlier call; else fail.
 
-        A server may close an idle connection just as the next call is sent on it; reading is
-        idempotent, so a second try does no harm.
+        A server may close an idle connection just as the next call is sent on it. All calls are
+        idempotent reads.
         """
         self.close()
         if self.pending is None:
@@ -174,14 +174,14 @@
         self.fail(reason)
 
     def fail(self, reason: str) -> None:
-        """Give the call up."""
+        """Close the connection and report the failure of the call."""
         self.close()
         failed, self.pending = self.pending, None
         if failed is not None:
             failed.on_failure(reason)
 
     def check_deadline(self) -> None:
-        """Give the call up if its time is over."""
+        """Fail the call if a deadline has passed."""
         if self.pending is None:
             return
         now = clock.now()
@@ -192,7 +192,7 @@
             self.fail("no answer has begun in time")
 
     def cancel(self) -> None:
-        """Drop the call under way; neither function is called."""
+        """Cancel the call in progress; neither callback is called."""
         self.pending = None
         self.close()
 
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -1,4 +1,4 @@
-"""Bring what the store says to the core: routes in force, drained zones and upstreams."""
+"""Read the store, or a relay of it, and keep routes, drained zones and upstreams up to date."""
 
 import collections
 import random
@@ -11,12 +11,12 @@
 from ebonystile.platform import entries, node, store
 
 HURRY_MS = 300
-"""How long the watch may take to bring a version that a peer has shown, in ms. It is on its way as
-a rule, and reading everything anew costs two calls."""
+"""Time that the watch has to deliver a version that a peer has shown, in ms, before all is read
+again. Usually it is already on its way."""
 
 
 class Feed:
-    """Makes the calls that the reader asks for, and keeps `current` and `fleet` up to date."""
+    """Makes the calls that the reader asks for and applies the answers to `current` and `fleet`."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self.wanted_version = 0
 
     def start(self) -> None:
-        """Make the next call now, or when it is due."""
+        """Make the next call now, or set a timer for when it is due."""
         now = clock.now()
         if self.call is not None:
             return
@@ -67,7 +67,7 @@
         client.get(path, call.deadline, self.on_answer, self.on_failure, begin_by=call.begin_by)
 
     def use(self, source: sourcing.Source) -> None:
-        """Read from a source from now on; the connection to the last one is closed."""
+        """Switch to a source, and close the connection to the previous one."""
         if source != self.source and self.source in self.clients:
             self.clients.pop(self.source).cancel()
         if source != self.source:
@@ -78,7 +78,7 @@
             self.clients[source] = calls.Client(self.owner, address)
 
     def is_fresh(self) -> bool:
-        """Tell whether the view is the store's present word."""
+        """Return whether the view is known to match the store."""
         return self.reader.fresh
 
     def version(self) -> int:
@@ -86,18 +86,18 @@
         return self.current.routes.version
 
     def is_direct(self) -> bool:
-        """Tell whether the store's own word is being read just now."""
+        """Return whether the store itself is being read and the view is current."""
         return self.source is sourcing.STORE and self.reader.fresh
 
     def hurry(self, version: int) -> None:
-        """Read anew if a peer's newer configuration has not come in a while; once a version."""
+        """Schedule a read in case the watch does not deliver a peer's newer version in time."""
         if version <= max(self.wanted_version, self.current.routes.version):
             return
         self.wanted_version = version
         self.owner.at(clock.now() + HURRY_MS, lambda: self.catch_up(version))
 
     def catch_up(self, version: int) -> None:
-        """Read anew unless the configuration has come meanwhile, as it does as a rule."""
+        """Read all lists again unless the configuration has arrived meanwhile."""
         if version <= self.current.routes.version:
             return
         self.log.event("behind", version=self.current.routes.version, shown=version)
@@ -108,17 +108,16 @@
         self.start()
 
     def reread(self) -> None:
-        """Read everything anew after a pause; the view is old until then."""
+        """Mark the view as stale and read all lists again, as after a pause."""
         self.drop_call()
         self.reader.distrust(clock.now())
         self.on_change()
         self.start()
 
     def offer(self, address: view.Address) -> None:
-        """Read from a sidecar that offers itself if there is no view yet, at once.
+        """Add a sidecar as a source, and read from it at once if there is no view yet.
 
-        A process that starts while the store is away knows no other, and would know nothing until
-        the store is back.
+        A process that starts during an outage of the store has no other source than its seeds.
         """
         self.sources.offer(address)
         if not self.reader.complete and self.call is None:
@@ -126,13 +125,13 @@
             self.start()
 
     def drop_call(self) -> None:
-        """Drop the call under way, if there is one."""
+        """Cancel the call in progress, if any."""
         if self.call is not None:
             self.clients[self.source].cancel()
             self.call = None
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Take in an answer of the store."""
+        """Apply an answer of the store or a relay, and make the next call."""
         call, self.call = self.call, None
         now = clock.now()
         try:
@@ -151,12 +150,12 @@
         self.start()
 
     def on_failure(self, reason: str) -> None:
-        """Take in that a call brought no answer."""
+        """Handle a call that failed without an answer."""
         call, self.call = self.call, None
         self.note_failure(call, reason, self.source is sourcing.STORE)
 
     def note_failure(self, call: reading.Call, reason: str, without_store: bool) -> None:
-        """Tell the reader, and the log at the first failure in a row."""
+        """Record a failed call and retry; log only the first of several failures in a row."""
         now = clock.now()
         self.counts["store_failed" if self.source is sourcing.STORE else "relay_failed"] += 1
         if self.reader.failing_since is None:
@@ -170,7 +169,7 @@
         self.start()
 
     def take(self, call: reading.Call, result: store.Result, now: int) -> None:
-        """Take in what an answer says."""
+        """Apply the result of a call to the view and to the relay."""
         if isinstance(result, store.Forgotten):
             self.log.event("history_gone", revision=call.revision)
             self.reader.forgotten(now)
@@ -199,10 +198,10 @@
         self.relay.advance(self.reader.revision)
 
     def forget_unlisted(self, prefix: str, names: abc.Iterable[str]) -> list[str]:
-        """Relay no more what the whole list just read shows to be gone; return those names.
+        """Remove from the relay the names that the list just read lacks, and return them.
 
-        A relay's list may be older than what this process has read before. Taken at its word, it
-        would drop an upstream that has just come, or end the draining of a zone.
+        A relay's list may be older than what this process has read before, so names with a later
+        revision are kept: a new upstream would be dropped, or the drain of a zone ended.
         """
         gone = []
         for name in names:
@@ -214,17 +213,17 @@
         return gone
 
     def drop_unlisted(self, now: int) -> None:
-        """Drop the upstreams that a whole list does not show."""
+        """Drop the upstreams that a complete list lacks."""
         for name in self.forget_unlisted(entries.ENTRIES_PREFIX, self.fleet.upstreams):
             self.remove(name, "unlisted", now)
 
     def take_back_unlisted(self) -> None:
-        """Take back the drained zones that a whole list does not show."""
+        """End the drain of the zones that a complete list lacks."""
         for zone in self.forget_unlisted(entries.DRAINED_PREFIX, sorted(self.fleet.drained)):
             self.take_back(zone, self.list_revision)
 
     def take_item(self, item: entries.Item, now: int) -> None:
-        """Take in one item, unless a later one of its key is known."""
+        """Apply one item, unless a later revision of its key has been applied."""
         if item.revision <= self.revisions.get(item.key, 0):
             return
         self.revisions[item.key] = item.revision
@@ -237,7 +236,7 @@
             self.take_entry(item, now)
 
     def take_configuration(self, item: entries.Item) -> None:
-        """Put a newer configuration in force; one that can't be read changes nothing."""
+        """Put a newer configuration in force; keep the old one if it is malformed."""
         if item.tombstone:
             return
         try:
@@ -255,7 +254,7 @@
             )
 
     def take_drained(self, item: entries.Item) -> None:
-        """Take in that operators drain a zone, or have ended that; the key alone says it."""
+        """Start or end the drain of the zone that the key names; the value is ignored."""
         try:
             zone = entries.drained_zone_of(item.key)
         except errors.PlatformError as error:
@@ -270,13 +269,13 @@
             self.log.event("zone_drained", zone=zone, upstreams=members, revision=item.revision)
 
     def take_back(self, zone: str, revision: int) -> None:
-        """Let a zone that was drained get new flows again."""
+        """End the drain of a zone, so that it gets new flows again."""
         if zone in self.fleet.drained:
             self.fleet.drained.remove(zone)
             self.log.event("zone_taken_back", zone=zone, revision=revision)
 
     def take_entry(self, item: entries.Item, now: int) -> None:
-        """Take in an upstream's entry, or that it is gone; a malformed one names no upstream."""
+        """Add, update or remove an upstream by its entry; a malformed entry removes it."""
         name = item.key.removeprefix(entries.ENTRIES_PREFIX)
         if item.tombstone:
             self.remove(name, "entry_gone", now)
@@ -301,7 +300,7 @@
             )
 
     def remove(self, name: str, reason: str, now: int) -> None:
-        """Drop an upstream, later if its entry may have been lost in an outage of the store."""
+        """Drop an upstream; only after a grace period if an outage may have lost its entry."""
         returned_at = now if self.reader.failures else self.reader.returned_at
         keep_until = returned_at + fleet.RETURN_MS if returned_at else 0
         gone = self.fleet.remove(name, now, keep_until)
@@ -309,5 +308,5 @@
 
 
 def text_of(source: sourcing.Source) -> str:
-    """Return a source as it stands in logs."""
+    """Return a source as text for logs."""
     return "store" if source is sourcing.STORE else f"{source[0]}:{source[1]}"
--- a/src/ebonystile/carrier/journal.py
+++ b/src/ebonystile/carrier/journal.py
@@ -1,7 +1,7 @@
-"""Write structured log lines to standard output without ever waiting for its reader.
+"""Write structured log lines to standard output without blocking on its reader.
 
-A budget bounds the lines of a second, one for each kind of event, so that a frequent event never
-pushes out a rare one; what is left out is counted and told in a line of its own.
+Each kind of event has its own limit of lines per second, so that a frequent event doesn't crowd
+out a rare one. Suppressed lines are counted and reported in a line of their own.
 """
 
 import collections
@@ -12,20 +12,20 @@
 from ebonystile import clock, logline
 
 LINES_PER_S = 40
-"""Lines of one kind of event in a second. A line costs about 15 microseconds."""
+"""Maximum lines of one kind of event per second."""
 
 BUFFER_BYTES = 64 << 10
-"""Most bytes kept for a reader that does not read; further lines are counted and dropped."""
+"""Bytes buffered for a reader that does not read; further lines are dropped and counted."""
 
 OUTPUT = 1
-"""The file descriptor of standard output."""
+"""File descriptor of standard output."""
 
 RARE = frozenset({"start", "stop", "reload", "store_lost", "store_back", "bug", "configured"})
-"""Events that no budget suppresses: each stands for a change of the process itself."""
+"""Events without a limit: each is a rare change in the state of the process."""
 
 
 class Journal:
-    """The log of one process; `left_out` counts the lines that it never wrote, by event."""
+    """The log of one process; `left_out` counts the lines never written, by event."""
 
     def __init__(self, program: str, name: str, descriptor: int = OUTPUT):
         self.program = program
@@ -40,7 +40,7 @@
         os.set_blocking(descriptor, False)
 
     def event(self, event: str, **fields: typing.Any) -> None:
-        """Log an event with its fields."""
+        """Log an event with its fields, unless its limit is reached."""
         self.turn(clock.now())
         if event not in RARE:
             self.written[event] += 1
@@ -51,20 +51,20 @@
         self.line(event, fields)
 
     def turn(self, now: int) -> None:
-        """Begin a new second, and tell what the last one left out."""
+        """Reset the counts when a new second begins, and log how many lines were suppressed."""
         second = now // 1000
         if second == self.second:
             return
         self.second = second
         self.written.clear()
         if self.suppressed or self.dropped:
-            told = {**self.suppressed, "no_reader": self.dropped}
+            counts = {**self.suppressed, "no_reader": self.dropped}
             self.suppressed.clear()
             self.dropped = 0
-            self.line("lines_suppressed", {k: v for k, v in told.items() if v})
+            self.line("lines_suppressed", {k: v for k, v in counts.items() if v})
 
     def line(self, event: str, fields: typing.Mapping[str, typing.Any]) -> None:
-        """Write one line, or what fits of it now."""
+        """Format one line and write it, or buffer what does not fit."""
         pairs = {
             "time_ms": time.time_ns() // clock.NS_PER_MS,
             "program": self.program,
@@ -81,12 +81,12 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes; a full pipe keeps the rest for the next line."""
+        """Write as much as possible; what a full pipe does not take stays buffered."""
         try:
             written = os.write(self.descriptor, self.waiting)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more, and there is nowhere to say so.
+            # The reader has closed the pipe, so the error can't be logged.
             written = len(self.waiting)
         self.waiting = self.waiting[written:]
--- a/src/ebonystile/carrier/pages.py
+++ b/src/ebonystile/carrier/pages.py
@@ -1,4 +1,4 @@
-"""Answer plain HTTP/1.1 GET requests: readiness checks and metrics."""
+"""A non-blocking HTTP/1.1 server for the event loop: readiness, metrics and the store relay."""
 
 import dataclasses
 import selectors
@@ -11,7 +11,7 @@
 from ebonystile.core import view
 
 MAX_CONNECTIONS = 256
-"""Connections at once; a further one takes the place of the oldest."""
+"""Maximum open connections; a further one replaces the oldest."""
 
 RECEIVE_BYTES = 4_096
 REASONS = {200: "OK", 404: "Not Found", 410: "Gone", 503: "Service Unavailable"}
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """What is answered for a path."""
+    """An HTTP response; `kind` is its content type."""
 
     status: int
     body: bytes = b""
@@ -27,7 +27,7 @@
 
 
 class Connection:
-    """One connection; requests on it are answered in their order."""
+    """One client connection; its requests are passed on in their order."""
 
     def __init__(self, server: "Server", accepted: socket.socket):
         self.server = server
@@ -42,7 +42,7 @@
         server.owner.selector.register(accepted, selectors.EVENT_READ, self.on_ready)
 
     def on_ready(self) -> None:
-        """Send what is left, and take in what has come."""
+        """Send unsent data, then read and parse new requests."""
         if self.unsent:
             self.flush()
         try:
@@ -54,7 +54,7 @@
         except BlockingIOError:
             return
         except (OSError, httptools.HttpParserError):
-            # The client has gone or speaks something else; there is nobody to tell.
+            # The client has disconnected or does not speak HTTP.
             self.close()
             return
         requests, self.requests = self.requests, []
@@ -62,17 +62,17 @@
             self.server.on_request(self, request)
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the request's path, for the parser."""
+        """Append a part of the request's path; called by the parser."""
         self.path += url
 
     def on_message_complete(self) -> None:
-        """Note a whole request, for the parser."""
+        """Record a complete request; called by the parser."""
         self.requests.append(self.path.decode("latin-1"))
         self.path = b""
         self.keep = self.parser.should_keep_alive()
 
     def answer(self, page: Page) -> None:
-        """Answer the request, now or later."""
+        """Send a response, unless the connection has been closed."""
         if self.closed:
             return
         keep = "keep-alive" if self.keep else "close"
@@ -84,14 +84,14 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send what the connection takes, and the rest once it takes more."""
+        """Send as much as the socket buffer takes, the rest when it becomes writable."""
         selector = self.server.owner.selector
         try:
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
         except BlockingIOError:
             pass
         except OSError:
-            # The client has gone; there is nobody to tell.
+            # The client has disconnected.
             self.close()
             return
         events = selectors.EVENT_READ | (selectors.EVENT_WRITE if self.unsent else 0)
@@ -108,7 +108,7 @@
 
 
 class Server:
-    """Takes requests on one address; `on_request` answers each by `Connection.answer`."""
+    """Accepts requests on one address; `on_request` answers each with `Connection.answer`."""
 
     def __init__(
         self,
@@ -131,7 +131,7 @@
         owner.selector.register(self.socket, selectors.EVENT_READ, self.accept)
 
     def accept(self) -> None:
-        """Take the next connection; the oldest goes if there are too many."""
+        """Accept a connection; close the oldest if there are too many."""
         try:
             accepted, _ = self.socket.accept()
         except OSError:
@@ -142,7 +142,7 @@
         self.connections[Connection(self, accepted)] = None
 
     def close(self) -> None:
-        """Take no more connections and close those there are."""
+        """Stop accepting connections and close the open ones."""
         self.owner.selector.unregister(self.socket)
         self.socket.close()
         for connection in list(self.connections):
--- a/src/ebonystile/carrier/relay.py
+++ b/src/ebonystile/carrier/relay.py
@@ -1,7 +1,8 @@
-"""Serve what this process has read of the store to other processes, by the store's own calls.
+"""Serve this process's copy of the store to other processes, with the store's own HTTP calls.
 
-A relay answers watches only while it reads the store itself, so that two processes can never take
-one another's word for the store's. Lists are given to anybody, as the store may refuse a process.
+A relay answers watches only while it reads the store directly: two relays that read from each
+other would both treat stale data as current. Lists are always served, marked as not current if
+need be, for processes that can't read the store.
 """
 
 import collections
@@ -16,17 +17,17 @@
 from ebonystile.platform import entries, store
 
 HISTORY = 2_000
-"""Changes kept for readers that are behind; one that is further behind reads everything."""
+"""Changes kept for watches from older revisions; older ones must read the lists again."""
 
 PAGE_ITEMS = 500
-"""Items of one page of a list, as the store gives."""
+"""Items in one page of a list, as in the store's answers."""
 
 JSON = "application/json"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """A watch that waits for a change after `revision` until `deadline` (ms)."""
+    """A watch that is open until a change after `revision` or until `deadline` (ms)."""
 
     connection: pages.Connection
     revision: int
@@ -34,9 +35,9 @@
 
 
 class Relay:
-    """What this process has read, and the watches of others that wait for more.
+    """The items that this process has read, and the open watches of other processes.
 
-    `is_direct` tells whether the store's own word is being read just now.
+    `is_direct` returns whether this process is reading the store itself and its view is current.
     """
 
     def __init__(
@@ -52,13 +53,13 @@
         self.server = pages.Server(owner, address, self.on_request)
 
     def restart(self, revision: int) -> None:
-        """Begin the history anew at the revision of a list; older readers read everything."""
+        """Restart the history at the revision of a list; watches from before it get 410."""
         self.history.clear()
         self.floor = revision
         self.revision = max(self.revision, revision)
 
     def take(self, item: entries.Item) -> None:
-        """Keep an item for others."""
+        """Add a changed item to the copy and the history."""
         if item.tombstone:
             self.items.pop(item.key, None)
         else:
@@ -68,16 +69,16 @@
         self.history.append(item)
 
     def advance(self, revision: int) -> None:
-        """Note up to which revision all is known, and answer those that waited for it."""
+        """Set the revision up to which the copy is complete, and answer the watches it concerns."""
         self.revision = max(self.revision, revision)
         waiting, self.waiting = self.waiting, []
-        # Most readers stand at the same revision, and their answer is made once.
+        # Most watches start from the same revision, so each answer is encoded once.
         answers = {asked: self.answer_to(asked) for asked in {one.revision for one in waiting}}
         for one in waiting:
             self.answer_or_wait(one, answers[one.revision])
 
     def expire(self, now: int) -> None:
-        """Answer the watches whose time is over, and all of them once the store is lost."""
+        """Answer the watches past their deadline, and all of them once the store is lost."""
         if not self.waiting:
             return
         direct = self.is_direct()
@@ -87,7 +88,7 @@
             one.connection.answer(self.news(one.revision) if direct else pages.Page(503))
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
-        """Answer a call of another process."""
+        """Answer a list or watch request of another process."""
         path, _, query = target.partition("?")
         fields = fields_of(query)
         if path == store.WATCH_PATH:
@@ -103,14 +104,14 @@
             connection.answer(pages.Page(404))
 
     def answer_or_wait(self, one: Waiting, answer: pages.Page | None) -> None:
-        """Give a watch its answer, or let it wait if there is none yet."""
+        """Send the answer of a watch, or keep the watch open if there is none yet."""
         if answer is None:
             self.waiting.append(one)
         else:
             one.connection.answer(answer)
 
     def answer_to(self, revision: int) -> pages.Page | None:
-        """Return what a watch from this revision is told now, None if nothing is new."""
+        """Return the answer to a watch from this revision, None if nothing has changed since."""
         if not self.is_direct():
             return pages.Page(503)
         if revision < self.floor:
@@ -120,12 +121,12 @@
         return None
 
     def news(self, revision: int) -> pages.Page:
-        """Return what has changed after a revision."""
+        """Return the answer with the changes after a revision."""
         changed = [item for item in self.history if item.revision > revision]
         return json_page(entries.News(changed, max(revision, self.revision)))
 
     def page(self, prefix: str, after: str) -> pages.Page:
-        """Return a page of the items whose keys begin so."""
+        """Return a page of the items whose keys begin with `prefix` and sort behind `after`."""
         if not self.revision:
             return pages.Page(503)
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
@@ -135,17 +136,17 @@
 
 
 def fields_of(query: str) -> dict[str, str]:
-    """Return the fields of a query; the library is loaded by the first one, not at the start."""
+    """Return the fields of a query string; `urllib.parse` is imported late for a faster start."""
     import urllib.parse
 
     return dict(urllib.parse.parse_qsl(query))
 
 
 def number(text: str | None) -> int:
-    """Return the whole number that stands in a query, 0 where there is none."""
+    """Return the integer in a query field, 0 if it is missing or malformed."""
     return int(text) if text and text.isascii() and text.isdigit() and len(text) < 20 else 0
 
 
 def json_page(body: msgspec.Struct) -> pages.Page:
-    """Return the answer with this body."""
+    """Return an answer with this body as JSON."""
     return pages.Page(200, msgspec.json.encode(body), JSON)
--- a/src/ebonystile/carrier/report.py
+++ b/src/ebonystile/carrier/report.py
@@ -1,8 +1,7 @@
-"""Count what a carrying daemon does, and serve the figures at the metrics address.
+"""Collect the metrics of a carrier daemon and serve them at the metrics address.
 
-The metrics and their library are loaded some seconds after the start, or when somebody asks: to
-import them is a tenth of the processor time of a start, which on an instance with a quarter of a
-core kept callers waiting for 60 ms more after a loss of everything.
+The metrics library is imported some seconds after the start, or at the first request, because its
+import would delay the first packet after a restart.
 """
 
 import collections
@@ -19,10 +18,10 @@
 
 METRICS_PATH = "/metrics"
 LOAD_AFTER_MS = 5_000
-"""When the metrics are loaded, in ms after the start: by then a recovery's rush is over."""
+"""Delay of the metrics import after the start, in ms; recovery is over by then."""
 
 MOST_EARLY = 2_000
-"""Durations kept until the metrics are loaded: a balancer's searches of 5 s in such a rush."""
+"""Durations kept until the metrics are loaded; enough for a balancer's searches in 5 s."""
 
 
 SEARCHES = "search_seconds"
@@ -35,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Duration:
-    """Something that took `ms` and ended at the time `at` (ms); `outcome` is "" for one kind."""
+    """A measured duration of `ms` that ended at `at` (ms); `outcome` is its label, "" for none."""
 
     at: int
     ms: int
@@ -44,7 +43,7 @@
 
 
 class Report:
-    """What both programs count; each adds its own by `add_own`, once the metrics are loaded."""
+    """The metrics of both programs; `add_own` registers those of one program once loaded."""
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         owner.at(clock.now() + LOAD_AFTER_MS, self.load)
 
     def load(self) -> "metrics.Metrics":
-        """Return the metrics, which are made at the first call."""
+        """Return the metrics, created at the first call."""
         if self.metrics is not None:
             return self.metrics
         from ebonystile import metrics
@@ -87,22 +86,22 @@
         return held
 
     def note_search(self, outcome: str, searched_ms: int) -> None:
-        """Count how long a search for a flow's upstream took, by the event that ended it."""
+        """Record how long a search for a flow's upstream took, by the event that ended it."""
         self.record(Duration(self.owner.now, searched_ms, SEARCHES, outcome))
 
     def note_answer(self, now: int, took_ms: int) -> None:
-        """Count how long the upstream took for a request."""
+        """Record how long the upstream took to answer a request."""
         self.record(Duration(now, took_ms, ANSWERS, ""))
 
     def record(self, duration: Duration) -> None:
-        """Add a duration to its histogram, or keep it until there is one."""
+        """Add a duration to its histogram, or keep it until the metrics are loaded."""
         if self.metrics is None:
             self.early.append(duration)
             return
         self.latency(duration.name, duration.outcome).record(duration.at, duration.ms)
 
     def latency(self, name: str, outcome: str = "") -> "metrics.Latency":
-        """Return one histogram of the metrics, which are there by now."""
+        """Return the histogram of this name and outcome; the metrics must be loaded."""
         found = self.latencies.get((name, outcome))
         if found is None:
             labels = {"outcome": outcome} if outcome else {}
@@ -111,14 +110,14 @@
         return found
 
     def serve(self, address: str) -> None:
-        """Serve the figures; a process that can't carries flows all the same."""
+        """Serve the metrics; only log an error if the address can't be used."""
         try:
             pages.Server(self.owner, entries.address_of(address), self.on_request)
         except errors.PeerError as error:
             self.log.event("metrics_not_served", reason=str(error))
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
-        """Answer a request at the metrics address."""
+        """Answer an HTTP request at the metrics address."""
         if target.partition("?")[0] != METRICS_PATH:
             connection.answer(pages.Page(404))
         else:
--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -1,4 +1,4 @@
-"""What both daemons share: settings, the loop, the feed, pauses, signals and the readiness page."""
+"""The base of both daemons: settings, event loop, store feed, signals and readiness check."""
 
 import collections
 import os
@@ -18,26 +18,26 @@
     from ebonystile import metrics
 
 TICK_MS = 200
-"""How often pauses, settings and what is over are looked at, in ms."""
+"""Interval of the checks for pauses, changed settings and expired state, in ms."""
 
 PAUSE_MS = 1_500
-"""A gap between two ticks after which the view counts as old, in ms."""
+"""Gap between two ticks after which the view counts as stale, in ms."""
 
 SUSPENDED_NS = 500 * clock.NS_PER_MS
-"""Time that only the boot-time clock has counted, after which the instance was suspended."""
+"""Lead of the boot-time clock over the monotonic clock that shows a suspension, in ns."""
 
 BUFFER_BYTES = 256 << 10
-"""Socket buffer asked for, in bytes: some hundred datagrams, 20 to 50 ms of work. What waits longer
-is worth nothing, as callers have sent again by then, and would keep the process behind."""
+"""Socket buffer size in bytes: some hundred datagrams, 20 to 50 ms of work. Callers have resent a
+packet that waits longer, so a larger buffer would only delay newer packets."""
 
 
 def suspended_ns() -> int:
-    """Return for how long the instance has been suspended since it started, in ns."""
+    """Return for how long the instance has been suspended since its boot, in ns."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
 
 
 class Shell:
-    """The parts of a daemon around its core."""
+    """Connects a core to sockets, the store feed, timers, signals, the log and metrics."""
 
     def __init__(self, program: str, settings: node.Node):
         self.settings = settings
@@ -59,37 +59,37 @@
         signal.signal(signal.SIGHUP, lambda *_: self.loop.post(self.reload))
 
     def run(self) -> None:
-        """Run until the process has left."""
+        """Run until the loop is stopped."""
         self.feed.start()
         self.log.event("start", zone=self.settings.zone, address=self.settings.packets)
         try:
             self.loop.run()
         except Exception as error:
-            # A process that went on without its loop would be alive and serve nobody.
+            # Without its loop the process would stay alive and serve nothing.
             self.log.event("bug", error=repr(error))
             raise
         self.log.event("stop", **self.counts, **self.feed.counts)
 
     def add_metrics(self, held: "metrics.Metrics") -> None:
-        """Add the figures of this program."""
+        """Register the metrics of this program."""
         raise NotImplementedError
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
-        """Answer a request at the readiness address."""
+        """Answer an HTTP request at the readiness address."""
         if target.partition("?")[0] != node.READY_PATH:
             connection.answer(pages.Page(404))
         else:
             connection.answer(pages.Page(200 if self.ready() else 503))
 
     def ready(self) -> bool:
-        """Tell whether the fabric should send packets here."""
+        """Return whether the fabric should send packets here."""
         return self.feed.reader.complete and self.leaving_since is None
 
     def on_view(self) -> None:
-        """Let the core use what the store says now."""
+        """Pass the changed view of the store to the core."""
 
     def on_datagram(self, data: bytes, source: view.Address) -> None:
-        """Let the core act on a datagram of another process."""
+        """Decode a datagram of another process and pass its messages to the core."""
         try:
             message = carrying.unpack(data)
         except errors.DatagramError as error:
@@ -103,7 +103,7 @@
             self.on_one(message, source)
 
     def on_one(self, message: messages.Message, source: view.Address) -> None:
-        """Let the core act on a message; the packet in it, if there is one, must hold."""
+        """Pass a message to the core; drop it if the packet in it is malformed."""
         raw = getattr(message, "raw", None)
         received = packets.from_caller(raw) if raw is not None else None
         if raw is not None and received is None:
@@ -114,16 +114,16 @@
     def on_message(
         self, message: messages.Message, received: packet.Packet | None, source: view.Address
     ) -> None:
-        """Let the core act on a message."""
+        """Pass a message, with the parsed packet in it if any, to the core."""
         raise NotImplementedError
 
     def carry_out(self, todo: abc.Iterable[effects.Effect]) -> None:
-        """Do what the core asks for."""
+        """Carry out the effects that the core returned."""
         for effect in todo:
             DOERS[type(effect)](effect, self)
 
     def to_upstream(self, raw: bytes) -> None:
-        """Give a packet to the upstream; only a sidecar has one."""
+        """Send a packet to the upstream; only a sidecar has one."""
         raise NotImplementedError
 
     def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
@@ -131,12 +131,12 @@
         raise NotImplementedError
 
     def tick(self) -> None:
-        """Notice a pause and changed settings."""
+        """Detect a pause and changed settings, then run the core's periodic work."""
         now = clock.now()
         suspended = suspended_ns()
         gap = now - self.last_tick
         if gap > PAUSE_MS or suspended - self.suspended > SUSPENDED_NS:
-            # What happened meanwhile is unknown: routes may have been dropped, upstreams replaced.
+            # Routes may have been dropped and upstreams replaced during the pause.
             self.log.event("woke", gap_ms=gap)
             self.feed.reread()
         self.last_tick = now
@@ -148,11 +148,11 @@
         self.on_tick(now)
 
     def on_tick(self, now: int) -> None:
-        """Let the core do what is due."""
+        """Run the core's periodic work; `now` is in ms."""
         raise NotImplementedError
 
     def reload(self) -> None:
-        """Read the settings again; a file that does not hold changes nothing."""
+        """Read the settings again; an invalid file leaves the old ones in place."""
         try:
             self.settings = node.read(node.path())
         except errors.SettingsError as error:
@@ -162,22 +162,22 @@
         self.log.event("reload", taken=True)
 
     def leave(self, name: str) -> None:
-        """Begin to leave."""
+        """Start the shutdown that the signal `name` asks for."""
         self.leaving_since = clock.now()
         self.log.event("leaving", signal=name)
         self.on_leave()
 
     def on_leave(self) -> None:
-        """Let the core begin to leave."""
+        """Start the shutdown of the core."""
         raise NotImplementedError
 
     def note_signal(self, name: str) -> None:
-        """Note a further signal, which changes nothing."""
+        """Log a further signal, which has no effect."""
         self.log.event("signal_again", signal=name)
 
 
 def settings_stamp() -> tuple[int, int]:
-    """Return what changes with the settings file."""
+    """Return the settings file's modification time (ns) and size, zeros if it can't be read."""
     try:
         status = os.stat(node.path())
     except OSError:
@@ -191,13 +191,13 @@
 
 
 def do_reset(effect: effects.Reset, shell: Shell) -> None:
-    """Tell a caller that its flow has ended."""
+    """Send a reset to the flow's caller."""
     shell.counts["resets"] += 1
     shell.to_caller(packets.make_reset(effect.flow, effect.position), effect.flow)
 
 
 def do_trace(effect: effects.Trace, shell: Shell) -> None:
-    """Log a decision."""
+    """Log and count an event of the core; record how long a search took."""
     fields = dict(effect.fields)
     shell.counts[effect.event] += 1
     if "searched_ms" in fields:
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -1,4 +1,4 @@
-"""Run the sidecar of carried flows beside one upstream."""
+"""The sidecar daemon: connects the sidecar core to its upstream, timers and the store feed."""
 
 import typing
 
@@ -12,12 +12,12 @@
     from ebonystile import metrics
 
 LEAVE_MS = 50
-"""How long a leaving sidecar goes on, in ms. Its upstream can be reached through it only, so the
-sooner the next one starts, the fewer packets are lost."""
+"""Time that a leaving sidecar keeps running, in ms. Its upstream is reachable only through it, so
+a short time until the replacement starts loses the fewest packets."""
 
 
 class Daemon(shell.Shell):
-    """The shell of one sidecar."""
+    """The shell around a sidecar core."""
 
     def __init__(self, settings: node.Node):
         super().__init__("sidecar", settings)
@@ -38,7 +38,7 @@
         self.caller_port = entries.address_of(settings.packets)[1]
 
     def add_metrics(self, held: "metrics.Metrics") -> None:
-        """Add what a sidecar sees of its upstream."""
+        """Register the metrics of a sidecar and its upstream."""
         table = self.core.table
         self.report.latency(report.ANSWERS)
         held.gauge("flows", "Flows known.", lambda: len(table.flows))
@@ -50,7 +50,7 @@
         )
 
     def on_view(self) -> None:
-        """Let the core use what the store says now."""
+        """Pass the changed view of the store to the core and send due announcements."""
         self.core.view_fresh = self.feed.reader.fresh
         self.core.revision = self.feed.reader.revision or 0
         self.core.announcer.relays = self.feed.sources.leads
@@ -59,7 +59,7 @@
         self.carry_out(self.core.announce(now))
 
     def on_upstream(self, data: bytes, source: view.Address) -> None:
-        """Act on a packet of the upstream."""
+        """Parse a packet of the upstream and pass it to the core."""
         sent = packets.from_upstream(data)
         if sent is None:
             self.counts["packets_refused"] += 1
@@ -70,20 +70,20 @@
     def on_message(
         self, message: messages.Message, received: packet.Packet | None, source: view.Address
     ) -> None:
-        """Act on a balancer's message."""
+        """Pass a message to the core and carry out its effects."""
         self.carry_out(self.core.on_message(message, received, source, self.loop.now))
 
     def on_tick(self, now: int) -> None:
-        """Forget what is over."""
+        """Run the core's periodic work."""
         self.carry_out(self.core.on_tick(now))
 
     def on_leave(self) -> None:
-        """Take no new flows, and end soon."""
+        """Accept no new flows, and stop after `LEAVE_MS`."""
         self.core.leaving = True
         self.loop.at(clock.now() + LEAVE_MS, self.loop.stop)
 
     def to_upstream(self, raw: bytes) -> None:
-        """Give a packet to the upstream."""
+        """Send a packet to the upstream."""
         self.counts["packets_in"] += 1
         loop.send(self.outbound, raw, self.upstream)
 
