--- a/src/ebonystile/core/calls/call.py
+++ b/src/ebonystile/core/calls/call.py
@@ -1,8 +1,7 @@
-"""Decide what a caller sends: one flow's opens, requests and feeds, as a plain state machine.
+"""Implement the caller's side of one flow, its requests and feeds, as a state machine.
 
-Its methods take commands, datagrams and ticks with the time in ms; datagrams to send, final
-outcomes and feed events are gathered in `outbox`, `outcomes` and `events`. The caller library and
-tests drive it.
+Its methods take commands, datagrams and ticks with the time in ms. Datagrams to send, outcomes of
+requests and feed events are collected in `outbox`, `outcomes` and `events`.
 """
 
 import dataclasses
@@ -13,45 +12,43 @@
 from ebonystile.core.calls import progress
 
 RESEND_LIMIT = 2_000
-"""Longest time between two resends, in ms; the first is `progress.RESEND_FIRST`."""
+"""Longest interval between two resends, in ms; the first is `progress.RESEND_FIRST`."""
 
 SETTLE_GRACE = 2_000
-"""How long after its deadline a request that must not be repeated may still be settled, in ms."""
+"""Time after its deadline in which the outcome of a request is still asked for, in ms."""
 
 HEARTBEAT_SHARE = 3
-"""Heartbeats come when this part of what is left of the lease has passed.
+"""The next heartbeat is sent after the remaining lease divided by this number.
 
-Were they as far apart as the lease is long, an idle flow would end just as its heartbeat came. One
-that is lost is followed by the next after a third of the rest, so several fit into any lease.
+So several heartbeats fit into any lease, and a lost one does not end an idle flow.
 """
 
 HEARTBEAT_LEAST, HEARTBEAT_MOST = 1_000, 60_000
-"""Shortest and longest time between two heartbeats, in ms."""
+"""Shortest and longest interval between two heartbeats, in ms."""
 
 CLOSE_TRIES = 6
-"""How often a close is said until the home confirms it: a home that never hears of it holds the
-flow until its lease ends, and an upstream that leaves alone would wait for that."""
+"""How often `Close` is sent while unconfirmed. A home that never receives it keeps the flow until
+its lease ends, which can delay the exit of a leaving upstream."""
 
 SILENCE_LIMIT = 6_000
-"""After this long without any word, in ms, a caller that waits opens its flow anew elsewhere.
+"""After this time without any message, in ms, a caller that waits reopens its flow elsewhere.
 
-A home that has died stays in the list for a while, longer if the platform is down, and what is
-sent to it vanishes without an answer.
+A dead home stays in the balancers' list for a while, and messages sent to it get no answer.
 """
 
 FEED_AHEAD = 64
-"""Most events held that came before an earlier one: more than a home sends unacknowledged."""
+"""Most events buffered out of order; a home sends fewer without an acknowledgement."""
 
 FEED_SILENCE = 1_000
-"""After this long without an event, in ms, a feed is asked for anew from its position."""
+"""After this time without an event, in ms, a feed is requested again from its position."""
 
 
 AFTER_CLOSE = (messages.Opened, messages.Moved, messages.Closed)
-"""What still counts once a flow is closed: where its home is, and that it has ended."""
+"""Messages that are processed even after the flow was closed."""
 
 
 class Call:
-    """One flow as its caller sees it."""
+    """The caller's state of one flow; its home is the sidecar that its token names."""
 
     def __init__(self, service: str, randomness: rng.Rng, now: int, deadline: int):
         self.service = service
@@ -83,7 +80,7 @@
     # Commands
 
     def request(self, path: str, body: bytes, deadline: int, idempotent: bool, now: int) -> bytes:
-        """Begin a request and return its id."""
+        """Start a request and return its id."""
         total = max(1, -(-len(body) // messages.PART_BYTES))
         pending = progress.Pending(
             self.randomness.randbytes(messages.ID_BYTES), path, body, deadline, idempotent, total
@@ -95,7 +92,7 @@
         return pending.id
 
     def subscribe(self, path: str, position: int, now: int) -> bytes:
-        """Begin to follow a feed after `position` and return the subscription's id."""
+        """Subscribe to a feed after `position` and return the subscription's id."""
         subscription = progress.Subscription(
             self.randomness.randbytes(messages.ID_BYTES), path, position
         )
@@ -105,11 +102,11 @@
         return subscription.id
 
     def unsubscribe(self, subscription: bytes) -> None:
-        """Stop following a feed."""
+        """End a subscription."""
         self.subscriptions.pop(subscription, None)
 
     def cancel(self, request: bytes, now: int) -> None:
-        """Ask for a request to be stopped; its final word still comes."""
+        """Cancel a request; its outcome is still reported."""
         pending = self.pending.get(request)
         if pending is not None:
             pending.cancelled = True
@@ -117,7 +114,7 @@
             self.tick(now)
 
     def settle(self, request: bytes, now: int) -> None:
-        """Ask what became of a request, barring it if it never came whole."""
+        """Ask for the outcome of a request; one that is not complete at its home is refused."""
         pending = self.pending.get(request)
         if pending is not None:
             pending.settling = True
@@ -125,7 +122,7 @@
             self.tick(now)
 
     def close(self) -> None:
-        """End the flow; what is under way on it gets no final word."""
+        """Close the flow; pending requests get no outcome."""
         self.closed = True
         self.pending.clear()
         self.subscriptions.clear()
@@ -134,11 +131,11 @@
 
     @property
     def done(self) -> bool:
-        """Whether the flow is closed and there is nothing more to say about it."""
+        """Return whether the flow is closed and its close was confirmed or sent often enough."""
         return self.closed and not self.closes_left
 
     def say_close(self, now: int) -> None:
-        """Tell the home, if there is one by now, that the flow has ended."""
+        """Send `Close` to the home if there is one, and schedule the next attempt."""
         self.closes_left -= 1
         self.close_at = now + progress.RESEND_FIRST * (CLOSE_TRIES - self.closes_left)
         if self.token:
@@ -147,7 +144,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Resend what has waited long enough and end what has run out of time."""
+        """Send whatever is due and end requests past their deadline."""
         if self.closed:
             if self.closes_left and self.close_at <= now:
                 self.say_close(now)
@@ -163,19 +160,20 @@
             silent = now - subscription.heard_at >= FEED_SILENCE
             if self.token and silent and subscription.resend_at <= now:
                 self.send_subscribe(subscription, now)
-                # A feed without new events is silent too; this tells it from a home that is gone.
+                # The answer tells a feed without new events from a home that is gone.
                 self.send(messages.Heartbeat(self.flow, self.service, self.token))
         self.watch_silence(now)
 
     def plan_heartbeat(self, now: int) -> None:
-        """Set the time of the next heartbeat."""
+        """Schedule the next heartbeat."""
         wait = (self.lease_until - now) // HEARTBEAT_SHARE
         self.heartbeat_at = now + min(max(wait, HEARTBEAT_LEAST), HEARTBEAT_MOST)
 
     def watch_silence(self, now: int) -> None:
-        """Leave a home that says nothing any more, unless it may have run what must not run twice.
+        """Reopen the flow if its home is silent, unless a pending request might then run twice.
 
-        After a pause of the caller itself the answers still wait in its socket.
+        After a pause of the caller itself the silence is counted anew, since answers may still
+        wait in its socket.
         """
         waiting = bool(self.subscriptions or self.pending) and bool(self.token)
         if not waiting or now - self.ticked_at > FEED_SILENCE:
@@ -186,14 +184,14 @@
             self.reopen(now)
 
     def in_doubt(self) -> bool:
-        """Whether only the present home can say what became of a request."""
+        """Return whether a request that must not run twice may have run at the current home."""
         return any(p.sent and not p.idempotent for p in self.pending.values())
 
     def tick_open(self, now: int) -> None:
-        """Open the flow, each time at the next upstream of its ranking."""
+        """Send `Open` if it is due; each attempt goes to the next upstream of the ranking."""
         if self.open_resend_at > now or now >= self.open_deadline:
             return
-        # Jitter and longer waits keep callers that were all cut off from coming back in step.
+        # Jitter and backoff keep callers that lost their homes together from synchronized retries.
         self.open_resend_at = now + int(self.open_wait * (0.75 + self.randomness.random() / 2))
         self.open_wait = min(RESEND_LIMIT, 2 * self.open_wait)
         opening = messages.Open(self.flow, self.service, b"", self.attempt, self.open_deadline, b"")
@@ -202,7 +200,7 @@
         self.attempt += 1
 
     def tick_request(self, pending: progress.Pending, now: int) -> None:
-        """Resend a request, settle it after its deadline, or end it."""
+        """Send the message that is due for a request, or end it after its deadline."""
         if now >= pending.deadline:
             self.overdue(pending, now)
         if pending.id not in self.pending or not self.token or pending.resend_at > now:
@@ -220,7 +218,7 @@
             self.send_request(pending, now)
 
     def overdue(self, pending: progress.Pending, now: int) -> None:
-        """Settle a request whose deadline has passed; give it up after a grace."""
+        """Settle a request whose deadline has passed; end it as unknown after `SETTLE_GRACE`."""
         if not pending.sent:
             self.finish(
                 progress.Result(
@@ -237,7 +235,7 @@
             pending.wait = progress.RESEND_FIRST
 
     def back_off(self, pending: progress.Pending, now: int) -> None:
-        """Set the time of the next resend."""
+        """Schedule the next resend of a request, with exponential backoff."""
         pending.resend_at = now + pending.wait
         pending.wait = min(RESEND_LIMIT, pending.wait * 2)
 
@@ -248,7 +246,7 @@
         self.outbox.append(messages.FROM_CALLER.encode(message))
 
     def send_request(self, pending: progress.Pending, now: int) -> None:
-        """Send the parts known to be missing; the last of them asks for a report."""
+        """Send the parts known to be missing; the last of them requests a report."""
         if pending.resend_at <= now:
             pending.resend_at = now + pending.wait
         numbers = pending.missing or (pending.total - 1,)
@@ -272,7 +270,7 @@
             )
 
     def send_subscribe(self, subscription: progress.Subscription, now: int) -> None:
-        """Ask for a feed from its position on."""
+        """Send `Subscribe` for a feed after its position."""
         subscription.resend_at = now + progress.RESEND_FIRST * 2
         self.send(
             messages.Subscribe(
@@ -286,7 +284,7 @@
         )
 
     def fetch(self, pending: progress.Pending) -> None:
-        """Ask for the first missing parts of the answer."""
+        """Request the first missing parts of an answer, at most `messages.WINDOW`."""
         numbers = []
         for number in range(pending.answer_total):
             if number not in pending.answer_parts:
@@ -302,7 +300,7 @@
     # Receiving
 
     def receive(self, message: messages.ToCaller, now: int) -> None:
-        """Take in a datagram that the system sent for this flow."""
+        """Process a message for this flow."""
         if message.flow != self.flow:
             return
         self.silent_since = now
@@ -312,11 +310,11 @@
 
     @functools.singledispatchmethod
     def on_message(self, message: messages.ToCaller, now: int) -> None:
-        """Act on a message; those without a rule of their own need nothing done."""
+        """Process one kind of message; those without a handler are ignored."""
 
     @on_message.register
     def on_opened(self, message: messages.Opened, now: int) -> None:
-        """Keep the first token; close a second home that a repeated open has made."""
+        """Use the first token; close a second home that a repeated open has created."""
         if view.unpack_token(message.token) is None:
             return
         if self.token:
@@ -333,10 +331,10 @@
             self.send_subscribe(subscription, now)
 
     def on_opened_again(self, message: messages.Opened) -> None:
-        """Tell the present home, an earlier one and a second one apart.
+        """Use a successor's token, close an unrelated second home, and ignore other copies.
 
-        A copy of an answer that comes after a handover speaks of the home that the flow had or has;
-        closing that would end the flow.
+        A late copy of `Opened` may come from the flow's current or former home; closing that one
+        would end the flow.
         """
         if self.is_replaced_by(message):
             self.token = message.token
@@ -346,23 +344,23 @@
             self.send(messages.Close(self.flow, self.service, message.token))
 
     def is_replaced_by(self, message: messages.Opened | messages.Moved) -> bool:
-        """Whether the message's home stands for the present one."""
+        """Return whether the message's home has replaced the current one."""
         token = view.unpack_token(self.token)
         return token is not None and token.incarnation in message.replaces
 
     @on_message.register
     def on_open_refused(self, message: messages.OpenRefused, now: int) -> None:
-        """Come back when told to."""
+        """Postpone the next open until the time that the refusal gives."""
         if not self.token:
             self.refusal = message
             self.open_resend_at = max(self.open_resend_at, message.retry_at)
 
     @on_message.register
     def on_moved(self, message: messages.Moved, now: int) -> None:
-        """Use the new home's token from now on, if that home stands for the present one.
+        """Use the new home's token if that home has replaced the current one.
 
-        An idle second home that is handed over says the same of itself; it knows nothing of what
-        the real one ran, so a request sent there again would run twice.
+        An idle second home that is handed over sends `Moved` too. It has no records of what the
+        current home ran, so a request repeated there would run twice.
         """
         if view.unpack_token(message.token) is None or not self.is_replaced_by(message):
             return
@@ -372,14 +370,14 @@
         self.stands_for = message.replaces
         self.lease_until = message.lease_until
         self.plan_heartbeat(now)
-        # An answer to a heartbeat tells the same token again; to ask anew each time would keep
-        # heartbeats and their answers going as fast as the caller ticks.
+        # The answer to a heartbeat repeats the same token. Subscribing again each time would send
+        # another heartbeat at every tick.
         for subscription in self.subscriptions.values() if moved else ():
             subscription.resend_at = min(subscription.resend_at, now)
 
     @on_message.register
     def on_progress(self, message: messages.Progress, now: int) -> None:
-        """Send the missing parts."""
+        """Send the parts of a request that its home lacks."""
         pending = self.pending.get(message.request)
         if pending is None or not message.missing:
             return
@@ -390,7 +388,7 @@
 
     @on_message.register
     def on_running(self, message: messages.Running, now: int) -> None:
-        """Go on waiting; later copies need only ask."""
+        """Note that the request is complete at its home, so resends carry one part only."""
         pending = self.pending.get(message.request)
         if pending is not None:
             pending.missing = ()
@@ -398,7 +396,7 @@
 
     @on_message.register
     def on_answer_part(self, message: messages.AnswerPart, now: int) -> None:
-        """Gather the answer; parts of another run of the request start it anew."""
+        """Collect the parts of an answer; parts of another answer discard those of the first."""
         pending = self.pending.get(message.request)
         if pending is None:
             return
@@ -419,18 +417,18 @@
             self.finish(
                 progress.Result(pending.id, progress.Outcome.ANSWERED, pending.status, body)
             )
-            # The home may let go of the answer now, and needs not carry it along in a handover.
+            # The home may free the answer now, and need not include it in a handover.
             self.send(
                 messages.Acknowledge(self.flow, self.service, self.token, message.request, have)
             )
         elif is_new and have % messages.WINDOW == 0:
-            # A repeated part asks for nothing: each would bring a whole window, whose repeats would
-            # bring one each in turn, so that one late packet of a large answer became thousands.
+            # A repeated part triggers no fetch: each would bring a whole window, whose repeated
+            # parts would each trigger another one.
             self.fetch(pending)
 
     @on_message.register
     def on_not_run(self, message: messages.NotRun, now: int) -> None:
-        """End a request that never was run."""
+        """End a request that was not run."""
         self.finish(
             progress.Result(
                 message.request,
@@ -442,7 +440,7 @@
 
     @on_message.register
     def on_outcome_unknown(self, message: messages.OutcomeUnknown, now: int) -> None:
-        """End a request whose outcome nobody knows."""
+        """End a request whose outcome is unknown."""
         self.finish(
             progress.Result(
                 message.request,
@@ -454,7 +452,7 @@
 
     @on_message.register
     def on_unknown_flow(self, message: messages.UnknownFlow, now: int) -> None:
-        """Believe that the home is lost once several walks, a resend apart, say so."""
+        """Reopen the flow once several resends in a row were answered with `UnknownFlow`."""
         subscription = self.subscriptions.get(message.request)
         if subscription is not None:
             if subscription.doubt.add(now):
@@ -467,7 +465,7 @@
         if pending is None:
             return
         if pending.cancelled and not pending.settling:
-            # The request itself may never have come; settling it bars every copy of it.
+            # The request may never have arrived; settling it refuses every later copy of it.
             pending.settling = True
             pending.resend_at = now
             return
@@ -475,10 +473,10 @@
             self.reopen(now)
 
     def on_unknown_heartbeat(self, now: int) -> None:
-        """Leave a home that has forgotten the flow, before a request finds that out.
+        """Reopen a flow whose heartbeats are answered with `UnknownFlow`.
 
-        After a long sleep of the caller the lease has ended. A request that must not be repeated
-        would end as unknown, though it never could have run.
+        The lease ends during a long pause of the caller. Without this the next request that must
+        not run twice would end as unknown, although it has not run.
         """
         if not self.doubt.add(now):
             self.heartbeat_at = now + progress.RESEND_FIRST
@@ -487,7 +485,7 @@
 
     @on_message.register
     def on_feed_event(self, message: messages.FeedEvent, now: int) -> None:
-        """Deliver events once and in order; those that came too early wait for the others."""
+        """Deliver events once and in order; buffer those that arrive out of order."""
         subscription = self.subscriptions.get(message.request)
         if subscription is None:
             return
@@ -506,22 +504,22 @@
 
     @on_message.register
     def on_feed_ended(self, message: messages.FeedEnded, now: int) -> None:
-        """Ask for the feed anew when told to."""
+        """Subscribe again at the time that the message gives."""
         subscription = self.subscriptions.get(message.request)
         if subscription is not None:
             subscription.resend_at = max(now, message.retry_at)
 
     @on_message.register
     def on_closed(self, message: messages.Closed, now: int) -> None:
-        """Say no more; a confirmation for a second home comes while the flow itself is open."""
+        """Stop sending `Close`; a confirmation for a second home comes while the flow is open."""
         if self.closed:
             self.closes_left = 0
 
     def reopen(self, now: int) -> None:
-        """Open the flow anew after its home was lost, under a new id, and go on.
+        """Open the flow under a new id after its home was lost, and resume requests and feeds.
 
-        Requests that must not be repeated end as unknown: the lost home may have run them. So do
-        cancelled ones, which nobody wants to be run any more.
+        Requests that must not run twice end as unknown, since the lost home may have run them, and
+        so do cancelled ones.
         """
         self.reopened += 1
         self.doubt = progress.Doubt()
@@ -551,6 +549,6 @@
         self.tick_open(now)
 
     def finish(self, result: progress.Result) -> None:
-        """Record the final word on a request, once."""
+        """Record the outcome of a request, once."""
         if self.pending.pop(result.request, None) is not None:
             self.outcomes.append(result)
--- a/src/ebonystile/core/calls/flows.py
+++ b/src/ebonystile/core/calls/flows.py
@@ -1,4 +1,4 @@
-"""Hold what a sidecar knows of each flow: its home, its lease, its feeds, its way out."""
+"""The state that a sidecar keeps for each flow: token, lease, feeds and handover."""
 
 import dataclasses
 
@@ -7,9 +7,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Feed:
-    """One subscription: the last event acknowledged, the last one sent, and when to resend.
+    """One subscription; `acknowledged` and `sent` are positions of events.
 
-    `window` is how many events may be under way; None for as many as the home's limits allow.
+    `window` is the number of unacknowledged events allowed, or None for `Limits.feed_window`.
     """
 
     request: bytes
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Handover:
-    """A flow on its way to `target`; from its creation on the flow runs nothing here.
+    """A handover of a flow to `target`; while it exists, the flow runs nothing here.
 
-    `incarnation` is 0 until the target has told its own. `committed` is set once the content may
-    have reached that incarnation: from then on no other target may be tried.
+    `incarnation` is 0 until the target has reported its own. `committed` is set once the transfer
+    with the flow's records may have reached that incarnation; then no other target may be tried.
     """
 
     id: bytes
@@ -41,13 +41,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Flow:
-    """One open flow. `answers_for` holds the incarnations whose tokens this home honours.
+    """One open flow. `answers_for` holds the incarnations whose tokens are valid at this home.
 
-    At or before `barred_before` every request without a record was refused for good. A `lost` flow
-    may live at the target of a handover, or nowhere: nothing of it runs here any more.
+    A request without a record and with a deadline at or before `barred_before` was refused for
+    good; at or before `forgotten_before` its outcome is unknown. A `lost` flow may have its home
+    at the target of a handover, or none; it runs nothing here.
 
-    A flow that nobody would take is not offered again before `move_at`; `lease_told_at` is when its
-    caller was last told that the lease has become short (both in ms).
+    A flow that no sibling accepted is not offered again before `move_at`; `lease_told_at` is when
+    its caller was last informed of the shortened lease (both in ms).
     """
 
     id: bytes
@@ -68,20 +69,19 @@
 
     @property
     def fenced(self) -> bool:
-        """Whether this home must not run anything for the flow any more."""
+        """Return whether this sidecar must not run any request of the flow."""
         return self.handover is not None or self.moved_to is not None or self.lost
 
 
 ANSWERS_FOR_LIMIT = 8
-"""Incarnations that one flow answers for, the newest ones.
+"""Most incarnations in `Flow.answers_for`; the newest are kept.
 
-Each handover adds one, so a flow that is held for months would carry ever more. A caller learns
-its new token within a heartbeat; one that has slept through more handovers than this finds its
-home unknown, and never another one.
+Each handover adds one. A caller gets its new token within a heartbeat; one that was paused for
+more handovers than this gets `UnknownFlow` and opens a new flow.
 """
 
 
 def joined(*groups: tuple[int, ...]) -> tuple[int, ...]:
-    """Return the newest incarnations of the groups, the oldest first."""
+    """Return the newest `ANSWERS_FOR_LIMIT` incarnations of the groups, the oldest first."""
     ordered = dict.fromkeys(incarnation for group in groups for incarnation in group)
     return tuple(ordered)[-ANSWERS_FOR_LIMIT:]
--- a/src/ebonystile/core/calls/ledger.py
+++ b/src/ebonystile/core/calls/ledger.py
@@ -1,8 +1,8 @@
-"""Remember every request that a sidecar may have run, so that none runs twice.
+"""Record every request that a sidecar may have run, so that none runs twice.
 
-A request is entered before the upstream sees it and its record is kept until its deadline and a
-margin have passed; nothing runs past its deadline, so a later copy cannot start a second run. The
-bounds hold by refusing new requests, never by dropping records early.
+A request is recorded before it is sent to the upstream, and its record is kept until a margin
+after its deadline. Nothing runs past its deadline, so a later copy cannot start a second run. When
+the ledger is full, new requests are refused; records are never dropped early.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class State(enum.IntEnum):
-    """Where a request stands; the values travel in transfers."""
+    """The state of a request; the values are sent in transfers."""
 
     RECEIVING = 1
     QUEUED = 2
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One request: its parts on the way in, its outcome on the way out. Times in ms."""
+    """The record of one request: its received parts, then its outcome. Times are in ms."""
 
     flow: bytes
     request: bytes
@@ -52,12 +52,12 @@
 
     @property
     def key(self) -> Key:
-        """The ledger's key of this request."""
+        """Return the request's key in the ledger."""
         return (self.flow, self.request)
 
     @property
     def delivered(self) -> bool:
-        """Whether the caller has said that it has the answer, which is no longer held."""
+        """Return whether the caller has acknowledged the answer, which is no longer stored."""
         return self.state is State.ANSWERED and not self.answer
 
 
@@ -65,7 +65,7 @@
     """The records of one sidecar, bounded in time by deadlines and in number by `limit`.
 
     A request without a record and with a deadline at or before `forgotten_before` may have had
-    one that was dropped, so nobody can tell any more whether it was run.
+    one that was dropped, so its outcome is unknown.
     """
 
     def __init__(self, limit: int, margin: int):
@@ -87,18 +87,18 @@
 
     @property
     def full(self) -> bool:
-        """Whether a new request must be refused."""
+        """Return whether no further record may be added for a new request."""
         return len(self.entries) >= self.limit
 
     def add(self, entry: Entry) -> None:
-        """Enter a record."""
+        """Store a record."""
         self.entries[entry.key] = entry
         self.by_flow.setdefault(entry.flow, {})[entry.request] = entry
         self.answer_bytes += len(entry.body)
         heapq.heappush(self.expiries, (entry.keep_until, entry.key))
 
     def remove(self, entry: Entry) -> None:
-        """Forget a record whose request can no longer run, or that has moved elsewhere."""
+        """Remove a record whose request can no longer run here."""
         del self.entries[entry.key]
         self.answer_bytes -= len(entry.body)
         requests = self.by_flow[entry.flow]
@@ -107,13 +107,13 @@
             del self.by_flow[entry.flow]
 
     def hold_answer(self, entry: Entry, answer: bytes, body: bytes) -> None:
-        """Keep an answer and its id in the record; empty ones in their place once delivered."""
+        """Set the answer id and body of a record; both are empty once delivered."""
         self.answer_bytes += len(body) - len(entry.body)
         entry.answer = answer
         entry.body = body
 
     def expire(self, now: int) -> list[Entry]:
-        """Drop and return the records whose time is over; running ones stay until they end."""
+        """Remove and return the expired records; those of pending requests stay."""
         over = []
         while self.expiries and self.expiries[0][0] <= now:
             _, key = heapq.heappop(self.expiries)
@@ -132,5 +132,5 @@
 def make_tombstone(
     flow: bytes, request: bytes, service: str, deadline: int, keep_until: int
 ) -> Entry:
-    """Return a record that keeps any copy of the request from running here."""
+    """Return a `NOT_RUN` record, which keeps later copies of the request from running here."""
     return Entry(flow, request, service, "", deadline, False, 0, State.NOT_RUN, keep_until)
--- a/src/ebonystile/core/calls/state.py
+++ b/src/ebonystile/core/calls/state.py
@@ -1,7 +1,7 @@
-"""Hold the state of a sidecar's core, and the few steps that all its parts share.
+"""The state of a sidecar's core, and the operations that its modules share.
 
-The parts (`opening`, `requests`, `feeds`, `handover`) change this state and append effects to it;
-`sidecar.decide` is the only entrance from outside.
+`opening`, `requests`, `feeds` and `handover` change this state and append effects to it;
+`sidecar.decide` is the only entry point.
 """
 
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """The bounds of one sidecar. Times are in ms, sizes in bytes.
+    """The limits of one sidecar. Times are in ms, sizes in bytes.
 
-    A flow that must move and that no sibling takes is offered again every `successor_retry`, and
-    its lease is cut to `waiting_lease`: a third of the 30 s that common supervisors wait for the
-    end of a process, and long enough for three heartbeats of its caller.
+    A flow that must move and that no sibling accepts is offered again every `successor_retry`, and
+    its lease is shortened to `waiting_lease`. That leaves time for three heartbeats, and is well
+    below the 30 s after which common supervisors kill a process.
     """
 
     slots: int = 2
@@ -46,7 +46,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Source:
-    """One feed of the upstream, polled once for all its subscribers; `events` is bounded."""
+    """One feed of the upstream, polled once for all its subscribers.
+
+    `events` maps positions to bodies and holds at most `SOURCE_EVENTS`.
+    """
 
     path: str
     service: str
@@ -57,11 +60,11 @@
 
 
 SOURCE_EVENTS = 1024
-"""Events of a feed kept for subscribers that fall behind; older ones are asked for again."""
+"""Most events of a feed kept for slow subscribers; others are polled again."""
 
 
 class State:
-    """Everything one sidecar knows; made anew, with a new incarnation, at every start."""
+    """The state of one sidecar, created with a new incarnation at every start."""
 
     def __init__(
         self,
@@ -99,26 +102,25 @@
         self.effects: list[effects.Effect] = []
 
     def take_effects(self) -> list[effects.Effect]:
-        """Return the effects gathered so far and start anew."""
+        """Return the effects collected so far and clear the list."""
         gathered = self.effects
         self.effects = []
         return gathered
 
     def emit(self, effect: effects.Effect) -> None:
-        """Add an effect."""
+        """Append an effect."""
         self.effects.append(effect)
 
     def trace(self, event: str, flow: bytes = b"", request: bytes = b"", **fields) -> None:
-        """Record an event for logs and the time line."""
+        """Append a `Trace` effect."""
         self.emit(effects.Trace(event, flow, request, tuple(fields.items())))
 
     def reply(
         self, caller: view.Address, via: view.Address, message: caller_messages.ToCaller
     ) -> None:
-        """Answer a caller by way of `via`, or of another balancer if that one has gone.
+        """Send a message to a caller through the balancer `via`, or another if that one is gone.
 
-        A balancer that was replaced after it forwarded the request can relay nothing any more;
-        the caller would wait in vain. Any balancer can relay any answer, so the next one does.
+        Any balancer can relay any answer, so a replaced balancer loses none.
         """
         balancers = self.view.balancers
         if balancers and via not in balancers:
@@ -126,7 +128,7 @@
         self.emit(effects.ToCaller(via, caller, caller_messages.TO_CALLER.encode(message)))
 
     def another_balancer(self, other_than: view.Address) -> view.Address:
-        """Return the next balancer in turn, if there is one, that is not `other_than`."""
+        """Return a balancer other than `other_than` in round-robin order, if there is one."""
         choices = [b for b in self.view.balancers if b != other_than]
         if not choices:
             return other_than
@@ -134,26 +136,26 @@
         return choices[self.next_balancer % len(choices)]
 
     def tell(self, flow: flows.Flow, message: caller_messages.ToCaller) -> None:
-        """Answer the caller of a flow where it was last heard from."""
+        """Send a message to a flow's caller, at its last known address and balancer."""
         self.reply(flow.caller, flow.via, message)
 
     def siblings(self, service: str) -> list[view.Endpoint]:
-        """Return the other upstreams of the service that take new work."""
+        """Return the other upstreams of the service that accept new work."""
         known = self.view.services.get(service)
         if known is None:
             return []
         return [u for u in known.accepting if u.key != self.key]
 
     def serving(self, service: str) -> bool:
-        """Whether new work for the service may start here now."""
+        """Return whether new work for the service may start here now."""
         return not self.leaving and self.caught_up and service in self.serves
 
     def pass_on(self, forward: messages.Forward, flow: bytes, service: str) -> bool:
-        """Send the datagram to the next sidecar of the flow's ranking; False if all were asked.
+        """Forward a datagram to the next sidecar of the flow's ranking; False if all were tried.
 
-        Upstreams that take new work come first, since a handover puts a flow on one of them;
-        leaving ones may still hold it. A walk that has grown too long for its header ends in
-        silence, since no one may say that a flow is unknown while some have not been asked.
+        Upstreams that accept new work come first, since a handover moves a flow to one of them;
+        leaving ones may still hold it. If the list of visited sidecars is full, the datagram is
+        dropped without an answer: the flow may still be held by a sidecar that was not tried.
         """
         known = self.view.services.get(service)
         if known is None:
@@ -168,7 +170,7 @@
         return True
 
     def forward_to(self, target: view.Endpoint, forward: messages.Forward) -> None:
-        """Pass a datagram on to one sidecar, noting that this one has seen it."""
+        """Forward a datagram to another sidecar and add this one to its visited list."""
         passed = messages.Forward(
             forward.caller, forward.via, (*forward.visited, self.key), forward.payload
         )
