--- a/benches/control.py
+++ b/benches/control.py
@@ -22,7 +22,7 @@
 from benches import fleet, report, target
 from ebonystile.caller import messages as caller_messages
 from ebonystile.core import view
-from ebonystile.core.calls import events, sidecar, state
+from ebonystile.core.calls import events, sidecar, sidecar_state
 from ebonystile.core.control import configuration, store
 from ebonystile.peer import control, messages
 from standins import processes, system
@@ -178,7 +178,7 @@
 def flow_costs(count: int) -> dict[str, float]:
     """Open `count` flows at one sidecar core; return bytes held and times in microseconds."""
     rng = random.Random(1)
-    limits = state.Limits(flows=count + 1, flow_lease=3_600_000)
+    limits = sidecar_state.Limits(flows=count + 1, flow_lease=3_600_000)
     home = sidecar.make_sidecar("line-1", 7, limits, rng, fleet.START)
     upstream = view.make_endpoint("line-1", ("10.0.0.1", 7000), "umea")
     shown = view.make_view(1, [view.make_service("line", "10.1.0.1:443", [upstream])])
@@ -214,7 +214,7 @@
     }
 
 
-def open_flows(home: state.State, payloads: list[tuple]) -> None:
+def open_flows(home: sidecar_state.State, payloads: list[tuple]) -> None:
     """Hand the callers' datagrams to the core."""
     for _, caller, payload in payloads:
         forward = messages.Forward(caller, ("10.0.0.9", 7000), (), payload)
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -1,11 +1,11 @@
 """Keep feeds flowing: poll the upstream once a feed, deliver each event in order, resend."""
 
 from ebonystile.caller import messages
-from ebonystile.core.calls import effects, events, flows, state
+from ebonystile.core.calls import effects, events, flows, sidecar_state
 
 
 def on_subscribe(
-    home: state.State, flow: flows.Flow, message: messages.Subscribe, now: int
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Subscribe, now: int
 ) -> None:
     """Start a feed, or take it up where the caller says it stands."""
     feed = flow.feeds.get(message.request)
@@ -25,16 +25,18 @@
     poll(home, now)
 
 
-def source_of(home: state.State, service: str, path: str, position: int) -> state.Source:
+def source_of(
+    home: sidecar_state.State, service: str, path: str, position: int
+) -> sidecar_state.Source:
     """Return the polled source of a feed, starting it at `position` if it is new."""
     source = home.sources.get(path)
     if source is None:
-        source = home.sources[path] = state.Source(path, service, newest=position)
+        source = home.sources[path] = sidecar_state.Source(path, service, newest=position)
     return source
 
 
 def on_acknowledge(
-    home: state.State, flow: flows.Flow, message: messages.Acknowledge, now: int
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Acknowledge, now: int
 ) -> None:
     """Note what the caller has, and send what follows."""
     feed = flow.feeds.get(message.request)
@@ -49,7 +51,7 @@
     deliver(home, flow, feed, now)
 
 
-def widen(home: state.State, feed: flows.Feed) -> None:
+def widen(home: sidecar_state.State, feed: flows.Feed) -> None:
     """Let twice as many events be under way after a resend, up to the limit."""
     if feed.window is None:
         return
@@ -58,7 +60,7 @@
         feed.window = None
 
 
-def deliver(home: state.State, flow: flows.Flow, feed: flows.Feed, now: int) -> None:
+def deliver(home: sidecar_state.State, flow: flows.Flow, feed: flows.Feed, now: int) -> None:
     """Send the events that follow, in order, up to a window beyond the last acknowledged."""
     source = home.sources.get(feed.path)
     if source is None:
@@ -74,7 +76,7 @@
         home.tell(flow, messages.FeedEvent(flow.id, feed.request, feed.sent, body))
 
 
-def on_batch(home: state.State, event: events.FeedBatch, now: int) -> None:
+def on_batch(home: sidecar_state.State, event: events.FeedBatch, now: int) -> None:
     """Keep the upstream's events and deliver them."""
     source = home.sources.get(event.path)
     if source is None:
@@ -90,13 +92,13 @@
     poll(home, now)
 
 
-def trim(home: state.State, source: state.Source) -> None:
+def trim(home: sidecar_state.State, source: sidecar_state.Source) -> None:
     """Keep the events within their bound: drop those that all have, then the newest.
 
     Dropping the oldest took from a subscriber that had fallen behind just what was fetched for it:
     its feed stood still for ever. The newest are asked for again once it has caught up.
     """
-    over = len(source.events) - state.SOURCE_EVENTS
+    over = len(source.events) - sidecar_state.SOURCE_EVENTS
     if over <= 0:
         return
     feeds = [feed.acknowledged for _, feed in subscribers(home, source.path)]
@@ -107,7 +109,7 @@
         del source.events[position]
 
 
-def on_failed(home: state.State, event: events.FeedFailed, now: int) -> None:
+def on_failed(home: sidecar_state.State, event: events.FeedFailed, now: int) -> None:
     """Ask again a little later; subscribers keep their positions meanwhile."""
     source = home.sources.get(event.path)
     if source is not None:
@@ -116,7 +118,7 @@
         home.trace("feed_failed", path=event.path, reason=event.reason)
 
 
-def fed_flows(home: state.State) -> list[flows.Flow]:
+def fed_flows(home: sidecar_state.State) -> list[flows.Flow]:
     """Return the flows with feeds that live here, forgetting those that have none any more."""
     living = []
     for flow_id in list(home.fed):
@@ -128,7 +130,7 @@
     return living
 
 
-def subscribers(home: state.State, path: str) -> list[tuple[flows.Flow, flows.Feed]]:
+def subscribers(home: sidecar_state.State, path: str) -> list[tuple[flows.Flow, flows.Feed]]:
     """Return the feeds on one path of the flows that live here."""
     return [
         (flow, feed)
@@ -138,7 +140,7 @@
     ]
 
 
-def poll(home: state.State, now: int) -> None:
+def poll(home: sidecar_state.State, now: int) -> None:
     """Ask the upstream for what the slowest subscriber of each feed lacks; stop unused ones."""
     for source in list(home.sources.values()):
         if source.polling or source.poll_at > now:
@@ -154,7 +156,7 @@
         home.emit(effects.PollFeed(source.service, source.path, after))
 
 
-def resend(home: state.State, now: int) -> None:
+def resend(home: sidecar_state.State, now: int) -> None:
     """Send the first unacknowledged event again, by another balancer each second time.
 
     Its acknowledgement opens the window anew. With all of them sent again each time,
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -6,7 +6,16 @@
 
 from ebonystile.caller import messages as caller_messages
 from ebonystile.core import view
-from ebonystile.core.calls import effects, events, flows, ledger, opening, requests, siblings, state
+from ebonystile.core.calls import (
+    effects,
+    events,
+    flows,
+    ledger,
+    opening,
+    requests,
+    siblings,
+    sidecar_state,
+)
 from ebonystile.core.placing import ranking
 from ebonystile.peer import transfer
 
@@ -17,12 +26,12 @@
 a heartbeat after a third of the lease, and each report postpones that heartbeat."""
 
 
-def must_move(home: state.State, flow: flows.Flow) -> bool:
+def must_move(home: sidecar_state.State, flow: flows.Flow) -> bool:
     """Return whether the flow's home is here and has to move to another sidecar."""
     return not flow.fenced and (home.leaving != "" or flow.service not in home.serves)
 
 
-def advance(home: state.State, now: int) -> None:
+def advance(home: sidecar_state.State, now: int) -> None:
     """Advance every flow that must move by one step."""
     if not home.moving:
         return
@@ -39,7 +48,7 @@
             fence(home, flow, now)
 
 
-def fence(home: state.State, flow: flows.Flow, now: int) -> None:
+def fence(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
     """Stop running requests of the flow and begin its transfer, unless requests are pending."""
     records = home.ledger.of_flow(flow.id)
     if any(entry.state in ledger.PENDING for entry in records):
@@ -66,7 +75,7 @@
     send(home, flow, now)
 
 
-def wait_here(home: state.State, flow: flows.Flow, now: int) -> None:
+def wait_here(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
     """Keep a flow that no sidecar takes, with a short lease, and offer it again later.
 
     If all upstreams of a service stop at once, no sidecar takes its flows. Without the short
@@ -80,14 +89,14 @@
         tell_home(home, flow)
 
 
-def tell_home(home: state.State, flow: flows.Flow) -> None:
+def tell_home(home: sidecar_state.State, flow: flows.Flow) -> None:
     """Send the caller the current token and lease of its flow."""
     moved = caller_messages.Moved(flow.id, flow.token, flow.lease_until, flow.answers_for)
     home.tell(flow, moved)
 
 
 def next_target(
-    home: state.State, flow: flows.Flow, refused: frozenset[int] | set[int], now: int
+    home: sidecar_state.State, flow: flows.Flow, refused: frozenset[int] | set[int], now: int
 ) -> view.Endpoint | None:
     """Return the least loaded sibling that has not refused, else the first in the flow's ranking.
 
@@ -99,7 +108,7 @@
     return lightest or ranking.first(flow.id, choices)
 
 
-def send(home: state.State, flow: flows.Flow, now: int) -> None:
+def send(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
     """Send the flow to its target, or first a query for the target's incarnation."""
     handover = flow.handover
     if handover.deadline <= now and not handover.committed:
@@ -110,7 +119,7 @@
     home.emit(effects.SendTransfer(handover.target.address, content(home, flow)))
 
 
-def content(home: state.State, flow: flows.Flow) -> transfer.Transfer:
+def content(home: sidecar_state.State, flow: flows.Flow) -> transfer.Transfer:
     """Return the transfer message; a query without records if the incarnation is unknown."""
     handover = flow.handover
     records = ()
@@ -151,7 +160,7 @@
     )
 
 
-def on_answered(home: state.State, event: events.TransferAnswered, now: int) -> None:
+def on_answered(home: sidecar_state.State, event: events.TransferAnswered, now: int) -> None:
     """Process the target's reply to a transfer."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.reply.id:
@@ -176,7 +185,7 @@
         try_another(home, flow, now)
 
 
-def may_be_lost(home: state.State, handover: flows.Handover, now: int) -> bool:
+def may_be_lost(home: sidecar_state.State, handover: flows.Handover, now: int) -> bool:
     """Return whether it can no longer be found out if the target has accepted the flow.
 
     Once the transfer may have reached its target, no other sidecar may be tried. Without this
@@ -187,7 +196,7 @@
     return handover.deadline <= now or handover.target.key not in home.view.endpoints
 
 
-def lose(home: state.State, flow: flows.Flow) -> None:
+def lose(home: sidecar_state.State, flow: flows.Flow) -> None:
     """Abandon a handover with an unknown result; the flow stays fenced here.
 
     The caller's messages are forwarded to other sidecars: to the target if it has accepted the
@@ -199,7 +208,7 @@
     home.trace("handover_lost", flow.id)
 
 
-def complete(home: state.State, flow: flows.Flow) -> None:
+def complete(home: sidecar_state.State, flow: flows.Flow) -> None:
     """Finish a handover: drop the flow's records and forward its messages to the new home."""
     transfer_id = flow.handover.id
     flow.moved_to = flow.handover.target
@@ -211,7 +220,7 @@
     home.trace("handed_over", flow.id, target=flow.moved_to.name, transfer=transfer_id)
 
 
-def try_another(home: state.State, flow: flows.Flow, now: int) -> None:
+def try_another(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
     """Offer the flow to the next sibling under a new transfer id, after a final refusal.
 
     If all siblings have refused, the handover ends and the flow is served here again until the
@@ -234,7 +243,7 @@
     )
 
 
-def on_failed(home: state.State, event: events.TransferFailed, now: int) -> None:
+def on_failed(home: sidecar_state.State, event: events.TransferFailed, now: int) -> None:
     """Retry after a failed exchange: another target after a query, else the same one and id."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.id:
@@ -247,7 +256,7 @@
         try_another(home, flow, now)
 
 
-def on_arrived(home: state.State, event: events.TransferArrived, now: int) -> None:
+def on_arrived(home: sidecar_state.State, event: events.TransferArrived, now: int) -> None:
     """Accept a flow or refuse it for good; a repeated transfer gets the same reply."""
     message = event.transfer
     accepted = message.id in home.accepted_transfers
@@ -264,7 +273,7 @@
     home.emit(effects.AnswerTransfer(event.handle, reply))
 
 
-def reason_against(home: state.State, message: transfer.Transfer, now: int) -> str:
+def reason_against(home: sidecar_state.State, message: transfer.Transfer, now: int) -> str:
     """Return why the flow cannot be accepted, or an empty string.
 
     A refusal is final: the old home may have handed the flow to another sidecar since, and a
@@ -292,7 +301,7 @@
     return view.unpack_token(known.token).incarnation in message.answers_for
 
 
-def adopt(home: state.State, message: transfer.Transfer, now: int) -> None:
+def adopt(home: sidecar_state.State, message: transfer.Transfer, now: int) -> None:
     """Become the flow's home, and merge another home of the same flow on this sidecar into it.
 
     A fenced one is not merged: its flow may have another home, whose tokens would then be valid
@@ -318,7 +327,7 @@
     for request, path, position in message.feeds:
         flow.feeds[request] = flows.Feed(request, path, position, position)
         home.fed.add(flow.id)
-        home.sources.setdefault(path, state.Source(path, message.service, newest=position))
+        home.sources.setdefault(path, sidecar_state.Source(path, message.service, newest=position))
     home.flows[flow.id] = flow
     for record in message.records:
         adopt_record(home, flow, record)
@@ -335,7 +344,7 @@
     flow.feeds = {**known.feeds, **flow.feeds}
 
 
-def adopt_record(home: state.State, flow: flows.Flow, record: tuple) -> None:
+def adopt_record(home: sidecar_state.State, flow: flows.Flow, record: tuple) -> None:
     """Store a finished record of the old home unless the request has one here."""
     request, number, service, deadline, idempotent, keep_until, *outcome = record
     if home.ledger.get(flow.id, request) is not None:
@@ -355,7 +364,7 @@
     home.ledger.add(entry)
 
 
-def expire(home: state.State, now: int) -> None:
+def expire(home: sidecar_state.State, now: int) -> None:
     """Forget the replies to old transfers.
 
     A refused transfer is refused after its deadline anyway. An accepted one is kept for
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -2,7 +2,7 @@
 
 from ebonystile.caller import messages as caller_messages
 from ebonystile.core import view
-from ebonystile.core.calls import flows, siblings, state
+from ebonystile.core.calls import flows, siblings, sidecar_state
 from ebonystile.peer import messages
 
 RETRY_OPEN = 250
@@ -11,13 +11,13 @@
 INCARNATION_BYTES = 8
 
 
-def new_incarnation(home: state.State) -> int:
+def new_incarnation(home: sidecar_state.State) -> int:
     """Return the number of a new home; nobody can guess it."""
     return int.from_bytes(home.randomness.randbytes(INCARNATION_BYTES))
 
 
 def on_open(
-    home: state.State, forward: messages.Forward, message: caller_messages.Open, now: int
+    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.Open, now: int
 ) -> None:
     """Answer an open with a token, here or at a sibling; repeating it changes nothing."""
     flow = home.flows.get(message.flow)
@@ -45,7 +45,7 @@
 
 
 def take(
-    home: state.State, forward: messages.Forward, message: caller_messages.Open, now: int
+    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.Open, now: int
 ) -> flows.Flow:
     """Make this sidecar the flow's home."""
     incarnation = new_incarnation(home)
@@ -64,7 +64,7 @@
     return flow
 
 
-def tell_opened(home: state.State, flow: flows.Flow, attempt: int) -> None:
+def tell_opened(home: sidecar_state.State, flow: flows.Flow, attempt: int) -> None:
     """Tell the caller its token. The answer is no larger than the open that asked."""
     opened = caller_messages.Opened(
         flow.id, flow.token, attempt, flow.lease_until, flow.answers_for
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -3,7 +3,7 @@
 import functools
 
 from ebonystile.caller import messages
-from ebonystile.core.calls import effects, events, flows, ledger, limits, siblings, state
+from ebonystile.core.calls import effects, events, flows, ledger, limits, siblings, sidecar_state
 
 ANSWER_ID_BYTES = 8
 
@@ -11,7 +11,7 @@
 """Shortest retry delay given to a refused caller, in ms."""
 
 
-def fate(home: state.State, flow: flows.Flow, deadline: int) -> ledger.State | None:
+def fate(home: sidecar_state.State, flow: flows.Flow, deadline: int) -> ledger.State | None:
     """Return the final state of a request without a record, or None if it may be accepted."""
     forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)
     if deadline <= forgotten:
@@ -21,14 +21,14 @@
     return None
 
 
-def retry_time(home: state.State, now: int) -> int:
+def retry_time(home: sidecar_state.State, now: int) -> int:
     """Return when a refused caller may retry (ms), with jitter against synchronized retries."""
     wait = max(RETRY_LEAST, home.slots.wait(len(home.slots.queue), now))
     return now + int(wait * (1 + home.randomness.random()))
 
 
 def refuse(
-    home: state.State,
+    home: sidecar_state.State,
     flow: flows.Flow,
     request: bytes,
     deadline: int,
@@ -60,21 +60,23 @@
     home.tell(flow, messages.NotRun(flow.id, request, reason, retry_at))
 
 
-def forget_parts(home: state.State, entry: ledger.Entry) -> None:
+def forget_parts(home: sidecar_state.State, entry: ledger.Entry) -> None:
     """Free the memory of a request's received parts."""
     home.upload_bytes -= sum(len(part) for part in entry.parts.values())
     entry.parts = {}
 
 
 def tell_unknown(
-    home: state.State, flow: flows.Flow, request: bytes, reason: str, now: int
+    home: sidecar_state.State, flow: flows.Flow, request: bytes, reason: str, now: int
 ) -> None:
     """Send `OutcomeUnknown`: the request may or may not have run."""
     retry_at = retry_time(home, now)
     home.tell(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
 
 
-def on_request(home: state.State, flow: flows.Flow, message: messages.Request, now: int) -> None:
+def on_request(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
+) -> None:
     """Process one part of a request."""
     home.balance.fresh.request(flow.id)
     entry = home.ledger.get(flow.id, message.request)
@@ -92,7 +94,7 @@
 
 
 def begin(
-    home: state.State, flow: flows.Flow, message: messages.Request, now: int
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
 ) -> ledger.Entry | None:
     """Record a request that is new here, or refuse it and return None."""
     verdict = fate(home, flow, message.deadline)
@@ -125,7 +127,9 @@
     return entry
 
 
-def reason_against(home: state.State, flow: flows.Flow, message: messages.Request, now: int) -> str:
+def reason_against(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
+) -> str:
     """Return why a new request cannot be accepted now, or an empty string."""
     if message.deadline <= now:
         return "its deadline has passed"
@@ -147,7 +151,7 @@
 
 
 def receive(
-    home: state.State,
+    home: sidecar_state.State,
     flow: flows.Flow,
     entry: ledger.Entry,
     message: messages.Request,
@@ -178,7 +182,7 @@
     return tuple(missing)
 
 
-def admit(home: state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
+def admit(home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
     """Start a complete request, queue it, or refuse it."""
     if not home.serving(flow.service):
         reason = home.leaving or "the upstream does not serve the service now"
@@ -196,7 +200,7 @@
         home.tell(flow, messages.Running(flow.id, entry.request))
 
 
-def start_waiting(home: state.State, now: int) -> None:
+def start_waiting(home: sidecar_state.State, now: int) -> None:
     """Start queued requests while slots are free; refuse those past their deadline."""
     promoted = home.slots.promote(now, home.randomness)
     give_up_refused(home, promoted.refused, now)
@@ -204,14 +208,14 @@
         start(home, home.ledger.entries[key], now)
 
 
-def give_up_refused(home: state.State, refused: list[limits.Refused], now: int) -> None:
+def give_up_refused(home: sidecar_state.State, refused: list[limits.Refused], now: int) -> None:
     """Refuse requests that were removed from the queue."""
     for each in refused:
         entry = home.ledger.entries[each.key]
         give_up(home, entry, each.answer.reason, now, each.answer.retry_at)
 
 
-def start(home: state.State, entry: ledger.Entry, now: int) -> None:
+def start(home: sidecar_state.State, entry: ledger.Entry, now: int) -> None:
     """Send a request that is already in the ledger to the upstream."""
     entry.state = ledger.State.RUNNING
     entry.started_at = now
@@ -226,7 +230,11 @@
 
 
 def give_up(
-    home: state.State, entry: ledger.Entry, reason: str, now: int, retry_at: int | None = None
+    home: sidecar_state.State,
+    entry: ledger.Entry,
+    reason: str,
+    now: int,
+    retry_at: int | None = None,
 ) -> None:
     """Refuse a recorded request that has not started, even if its flow was closed meanwhile."""
     flow = home.flows.get(entry.flow)
@@ -239,13 +247,15 @@
     entry.retry_at = retry_time(home, now) if retry_at is None else retry_at
 
 
-def give_up_queued(home: state.State, services: set[str] | None, reason: str, now: int) -> None:
+def give_up_queued(
+    home: sidecar_state.State, services: set[str] | None, reason: str, now: int
+) -> None:
     """Refuse the queued requests of the services, or of all services if None."""
     refused = home.slots.refuse_queued(reason, now, home.randomness, services)
     give_up_refused(home, refused, now)
 
 
-def finish(home: state.State, event: events.Finished, now: int) -> None:
+def finish(home: sidecar_state.State, event: events.Finished, now: int) -> None:
     """Record an answer, send its first window of parts, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.State.RUNNING:
@@ -267,7 +277,7 @@
     start_waiting(home, now)
 
 
-def fail(home: state.State, event: events.Failed, now: int) -> None:
+def fail(home: sidecar_state.State, event: events.Failed, now: int) -> None:
     """Record that the upstream gave no answer, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.State.RUNNING:
@@ -282,7 +292,7 @@
 
 
 def settle_failed(
-    home: state.State,
+    home: sidecar_state.State,
     entry: ledger.Entry,
     reason: str,
     may_have_run: bool,
@@ -304,7 +314,9 @@
         tell_outcome(home, flow, entry, now)
 
 
-def tell_outcome(home: state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
+def tell_outcome(
+    home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, now: int
+) -> None:
     """Send the caller the recorded state or outcome of a request."""
     if entry.delivered:
         # A late copy: the caller has acknowledged the whole answer, which is no longer stored.
@@ -319,7 +331,7 @@
         home.tell(flow, messages.Running(flow.id, entry.request))
 
 
-def send_parts(home: state.State, flow: flows.Flow, entry: ledger.Entry, numbers) -> None:
+def send_parts(home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, numbers) -> None:
     """Send the numbered parts of an answer; numbers out of range are skipped."""
     total = part_count(entry)
     for number in numbers:
@@ -340,7 +352,9 @@
         )
 
 
-def on_fetch(home: state.State, flow: flows.Flow, message: messages.Fetch, now: int) -> None:
+def on_fetch(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Fetch, now: int
+) -> None:
     """Send the requested parts of an answer, or the recorded outcome if it is another one."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
@@ -351,7 +365,9 @@
         tell_outcome(home, flow, entry, now)
 
 
-def on_acknowledge(home: state.State, flow: flows.Flow, message: messages.Acknowledge) -> None:
+def on_acknowledge(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Acknowledge
+) -> None:
     """Free the body of an answer that the caller has received; the record stays."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None or entry.state is not ledger.State.ANSWERED:
@@ -365,7 +381,9 @@
     return max(1, -(-len(entry.body) // messages.PART_BYTES))
 
 
-def on_cancel(home: state.State, flow: flows.Flow, message: messages.Cancel, now: int) -> None:
+def on_cancel(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Cancel, now: int
+) -> None:
     """Cancel a request: refuse it if it has not started, else ask the upstream to stop it."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
@@ -382,7 +400,9 @@
         refuse(home, flow, entry.request, entry.deadline, "cancelled", now)
 
 
-def on_settle(home: state.State, flow: flows.Flow, message: messages.Settle, now: int) -> None:
+def on_settle(
+    home: sidecar_state.State, flow: flows.Flow, message: messages.Settle, now: int
+) -> None:
     """Report the outcome of a request; one that is not complete is refused for good."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None and fate(home, flow, message.deadline) is ledger.State.UNKNOWN:
@@ -396,7 +416,7 @@
         tell_outcome(home, flow, entry, now)
 
 
-def expire(home: state.State, now: int) -> None:
+def expire(home: sidecar_state.State, now: int) -> None:
     """Refuse queued and cancel running requests past their deadline; drop expired records."""
     give_up_refused(home, home.slots.expire(now, home.randomness), now)
     for key in home.slots.running:
@@ -409,7 +429,7 @@
 
 
 @functools.singledispatch
-def on_message(message, home: state.State, flow: flows.Flow, now: int) -> None:
+def on_message(message, home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
     """Process a caller's message about a request of a flow whose home is here."""
     raise TypeError(f"no handler for message {type(message).__name__}")
 
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -10,7 +10,7 @@
 
 from ebonystile import clock, errors, logs, loop, settings
 from ebonystile.core import view
-from ebonystile.core.calls import effects, events, siblings, sidecar, state
+from ebonystile.core.calls import effects, events, siblings, sidecar, sidecar_state
 from ebonystile.daemon import answers, control, guard, inbound, reporting, server, tuning
 from ebonystile.peer import bulk, messages, seal, transfer
 from ebonystile.upstream import client
@@ -362,9 +362,9 @@
     )
 
 
-def make_limits(config: settings.SidecarSettings) -> state.Limits:
+def make_limits(config: settings.SidecarSettings) -> sidecar_state.Limits:
     """Return the core's bounds as the settings give them."""
-    return state.Limits(
+    return sidecar_state.Limits(
         slots=config.slots,
         queue=config.queue_limit,
         flows=config.flow_limit,
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -3,7 +3,7 @@
 import collections
 
 import tests.wire as wires
-from ebonystile.core.calls import call, events, ledger, progress, state
+from ebonystile.core.calls import call, events, ledger, progress, sidecar_state
 
 LATE_MS = call.SETTLE_GRACE + call.RESEND_LIMIT
 """A final word is later than promised if it comes this long after its deadline."""
@@ -66,7 +66,7 @@
         self.told_at = 0
 
 
-def check_tables(checks: Checks, name: str, core: state.State) -> None:
+def check_tables(checks: Checks, name: str, core: sidecar_state.State) -> None:
     """Check that no table grows beyond its bound and that the counts agree with the tables."""
     entries = core.ledger.entries.values()
     receiving = sum(len(p) for e in entries for p in e.parts.values())
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -109,7 +109,7 @@
     def __init__(self, case: Case):
         self.case = case
         self.rng = random.Random(repr(case))
-        self.wire = wires.Wire(self.rng.randrange(1 << 30), wires.state.Limits(**LIMITS))
+        self.wire = wires.Wire(self.rng.randrange(1 << 30), wires.sidecar_state.Limits(**LIMITS))
         self.checks = checking.Checks(self.wire)
         self.armed = [Put(self, step, fault) for step, fault in case.puts]
         self.ended: set[str] = set()
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -149,7 +149,7 @@
     ),
     Mutation(
         "opens refused while leaving",
-        CORE + "calls/state.py",
+        CORE + "calls/sidecar_state.py",
         "return not self.leaving and self.caught_up and service in self.serves",
         "return self.caught_up and service in self.serves",
     ),
@@ -365,7 +365,7 @@
     ),
     Mutation(
         "answer returns by another balancer",
-        CORE + "calls/state.py",
+        CORE + "calls/sidecar_state.py",
         "        if balancers and via not in balancers:\n",
         "        if False:\n",
     ),
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 
 from ebonystile import timeline
 from ebonystile.core import view
-from ebonystile.core.calls import balancer, flows, sidecar, state
+from ebonystile.core.calls import balancer, flows, sidecar, sidecar_state
 from ebonystile.daemon import answers
 from ebonystile.operator import messages
 
@@ -27,7 +27,7 @@
     if role == answers.BALANCER:
         core = balancer.make_balancer(("10.0.0.9", 2), random.Random(1))
     else:
-        core = sidecar.make_sidecar("u1", 0xAA, state.Limits(), random.Random(1), 0)
+        core = sidecar.make_sidecar("u1", 0xAA, sidecar_state.Limits(), random.Random(1), 0)
     core.view = VIEW
     identity = answers.Identity("u1", role, "a", 0xAA, 1_000)
     ring = timeline.make_ring("u1", role, 0xAA, 10)
--- a/tests/test_reporting.py
+++ b/tests/test_reporting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ebonystile import loop, timeline
-from ebonystile.core.calls import balancer, sidecar, state
+from ebonystile.core.calls import balancer, sidecar, sidecar_state
 from ebonystile.daemon import answers, reporting
 from ebonystile.operator import messages
 from standins import processes
@@ -20,7 +20,7 @@
 def make(role=answers.SIDECAR):
     randomness = random.Random(1)
     if role == answers.SIDECAR:
-        core = sidecar.make_sidecar("u1", 7, state.Limits(), randomness, 0)
+        core = sidecar.make_sidecar("u1", 7, sidecar_state.Limits(), randomness, 0)
     else:
         core = balancer.make_balancer(("127.0.0.1", 1), randomness)
     identity = answers.Identity("u1", role, "a", 7, 0)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -9,7 +9,7 @@
 from ebonystile import clock, errors
 from ebonystile.caller import messages
 from ebonystile.core import view
-from ebonystile.core.calls import balancer, effects, events, progress, sidecar, state
+from ebonystile.core.calls import balancer, effects, events, progress, sidecar, sidecar_state
 from ebonystile.daemon import sidecar as shell
 from ebonystile.peer import messages as peer_messages
 from ebonystile.peer import transfer
@@ -450,4 +450,4 @@
 
 
 def test_incarnations_that_a_flow_answers_for_are_bounded():
-    assert state.flows.joined(tuple(range(20)), (21,)) == (13, 14, 15, 16, 17, 18, 19, 21)
+    assert sidecar_state.flows.joined(tuple(range(20)), (21,)) == (13, 14, 15, 16, 17, 18, 19, 21)
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -13,7 +13,7 @@
 
 from ebonystile.caller import messages as caller_messages
 from ebonystile.core import view
-from ebonystile.core.calls import balancer, call, effects, events, ledger, sidecar, state
+from ebonystile.core.calls import balancer, call, effects, events, ledger, sidecar, sidecar_state
 from ebonystile.peer import bulk, messages, transfer
 
 START = 1_800_000_000_000
@@ -39,7 +39,7 @@
 
     name: str
     address: view.Address
-    core: state.State | None
+    core: sidecar_state.State | None
     kinds: set[str] = dataclasses.field(default_factory=lambda: {SERVICE})
     offset: int = 0
     paused_until: int = 0
@@ -66,10 +66,10 @@
     decision. Processes have clocks of their own: `Home.offset`, and `offsets` for callers.
     """
 
-    def __init__(self, seed: int = 1, limits: state.Limits | None = None):
+    def __init__(self, seed: int = 1, limits: sidecar_state.Limits | None = None):
         self.rng = random.Random(seed)
         self.now = START
-        self.limits = limits or state.Limits()
+        self.limits = limits or sidecar_state.Limits()
         self.queue: list = []
         self.count = 0
         self.homes: dict[view.Address, Home] = {}
@@ -328,7 +328,7 @@
         for step in steps:
             self.watch(step, home, True)
 
-    def carry_out_all(self, home: Home, core: state.State, decided: list) -> None:
+    def carry_out_all(self, home: Home, core: sidecar_state.State, decided: list) -> None:
         """Do what was decided if the process still runs, at its wake-up if it is paused."""
         if home.core is not core:
             return
@@ -390,7 +390,7 @@
         for delay in delays[:1]:
             self.at(delay - 1, lambda: self.start(home, core, effect))
 
-    def start(self, home: Home, core: state.State, effect: effects.RunRequest) -> None:
+    def start(self, home: Home, core: sidecar_state.State, effect: effects.RunRequest) -> None:
         """Run a request at the upstream, which refuses one whose deadline has passed."""
         request = effect.key[1]
         if home.upstream_down_until > self.now or self.now + home.offset >= effect.deadline:
@@ -422,14 +422,14 @@
             return bytes(i % 251 for i in range(int(path.split("/")[1])))
         return b"done:" + body[:100]
 
-    def feed(self, home: Home, core: state.State, effect: effects.PollFeed) -> None:
+    def feed(self, home: Home, core: sidecar_state.State, effect: effects.PollFeed) -> None:
         """Give the events of a feed: alike at every upstream."""
         newest = (self.now - FEED_START) // FEED_EVERY_MS
         last = min(newest, effect.after + 64)
         batch = tuple((p, b"event %d" % p) for p in range(effect.after + 1, last + 1))
         self.post_to(home, core, events.FeedBatch(effect.path, effect.after, batch))
 
-    def post_to(self, home: Home, core: state.State, event) -> None:
+    def post_to(self, home: Home, core: sidecar_state.State, event) -> None:
         """Post an event if the same start of the sidecar still runs."""
         if home.core is core:
             self.post(home, event)
@@ -471,7 +471,7 @@
 
 def make_service(count: int = 3, balancers: int = 3, seed: int = 1, **limits) -> Wire:
     """Return a wire with one service of `count` upstreams behind some balancers."""
-    wire = Wire(seed, state.Limits(**limits))
+    wire = Wire(seed, sidecar_state.Limits(**limits))
     for number in range(balancers):
         wire.add_balancer(100 + number)
     homes = [wire.add_home(f"ledger-{number}", 200 + number) for number in range(count)]
