--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -12,7 +12,7 @@
 import time
 import typing
 
-from ebonystile.core.control import assembly, configuration, pulling, spread, spread_state, store
+from ebonystile.core.control import assembly, configuration, gossip, gossip_state, pulling, store
 from ebonystile.peer import control
 
 TICK_MS = 200
@@ -48,7 +48,7 @@
 class Node:
     """One core, and what the loop knows of it: its group is its side of a partition."""
 
-    core: spread_state.Spread
+    core: gossip_state.Spread
     group: int = 0
     alive: bool = True
     paused_until: int = 0
@@ -73,13 +73,13 @@
         self,
         seed: int = 1,
         *,
-        limits: spread_state.Limits | None = None,
+        limits: gossip_state.Limits | None = None,
         loss: float = 0.0,
         delay: tuple[int, int] = (1, 5),
         measure: bool = False,
     ):
         self.random = random.Random(seed)
-        self.limits = limits or spread_state.Limits()
+        self.limits = limits or gossip_state.Limits()
         self.loss = loss
         self.delay = delay
         self.measure = measure
@@ -88,7 +88,7 @@
         self.names: dict[str, Node] = {}
         self.streams = {"values": Log(), "instances": Log()}
         self.calls: collections.Counter[str] = collections.Counter()
-        self.waiting: list[tuple[Node, spread_state.WatchPlatform]] = []
+        self.waiting: list[tuple[Node, gossip_state.WatchPlatform]] = []
         self.queue: list[tuple[int, int, typing.Callable, tuple]] = []
         self.order = itertools.count()
         self.platform_up = True
@@ -105,7 +105,7 @@
         number = len(self.nodes) + 1
         address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7000)
         addresses = tuple(self.names[seed].core.membership.own.address for seed in seeds)
-        core = spread.make_spread(
+        core = gossip.make_spread(
             name,
             role,
             address,
@@ -163,7 +163,7 @@
         """Post a tick and plan the next one."""
         if not node.alive:
             return
-        self.post(node, spread.Tick())
+        self.post(node, gossip.Tick())
         self.at(self.now + TICK_MS, self.tick, node)
 
     def post(self, node: Node, event: typing.Any) -> None:
@@ -171,28 +171,28 @@
         if not node.alive:
             return
         if node.paused_until > self.now:
-            if not isinstance(event, spread.Tick):
+            if not isinstance(event, gossip.Tick):
                 self.at(node.paused_until, self.post, node, event)
             return
         begin = time.perf_counter_ns()
-        effects = spread.decide(node.core, event, self.now)
+        effects = gossip.decide(node.core, event, self.now)
         node.busy_ns += time.perf_counter_ns() - begin
         for effect in effects:
             self.carry_out(node, effect)
 
-    def carry_out(self, node: Node, effect: spread_state.Effect) -> None:
+    def carry_out(self, node: Node, effect: gossip_state.Effect) -> None:
         """Do what a core asks for."""
         match effect:
-            case spread_state.SendMessage():
+            case gossip_state.SendMessage():
                 self.send(node, effect)
-            case spread_state.WatchPlatform():
+            case gossip_state.WatchPlatform():
                 self.call(node, effect)
-            case spread_state.Fetch():
+            case gossip_state.Fetch():
                 self.fetch(node, effect)
-            case spread_state.InForce():
+            case gossip_state.InForce():
                 self.note(node, may_act=True)
                 node.in_force_at.setdefault(node.core.configuration.digest.values, self.now)
-            case spread_state.FellBehind():
+            case gossip_state.FellBehind():
                 self.note(node, may_act=False)
             case _:
                 node.traces.append(effect)
@@ -202,7 +202,7 @@
         node.may_act = may_act
         node.acts.append((self.now, may_act, node.core.configuration.digest.values))
 
-    def send(self, node: Node, effect: spread_state.SendMessage) -> None:
+    def send(self, node: Node, effect: gossip_state.SendMessage) -> None:
         """Deliver a datagram after a delay, or lose it."""
         data = b""
         if self.measure:
@@ -218,7 +218,7 @@
         self.at(when, self.deliver, node, sender, effect, data)
 
     def deliver(
-        self, sender: Node, address: tuple, effect: spread_state.SendMessage, data: bytes
+        self, sender: Node, address: tuple, effect: gossip_state.SendMessage, data: bytes
     ) -> None:
         """Hand a datagram to its node unless a partition or death is in the way."""
         node = self.nodes.get(effect.address)
@@ -231,43 +231,43 @@
             node.busy_ns += time.perf_counter_ns() - begin
         node.received += 1
         node.received_bytes += len(data) + SEAL_BYTES
-        self.post(node, spread.Arrived(address, message))
+        self.post(node, gossip.Arrived(address, message))
 
-    def fetch(self, node: Node, effect: spread_state.Fetch) -> None:
+    def fetch(self, node: Node, effect: gossip_state.Fetch) -> None:
         """Answer a pull over a websocket, or let it fail."""
         peer = self.nodes.get(effect.address)
         usable = peer is not None and peer.alive and peer.group == node.group
         if not usable or peer.paused_until > self.now:
-            self.at(self.now + 1000, self.post, node, spread.FetchFailed(effect.pull.nonce))
+            self.at(self.now + 1000, self.post, node, gossip.FetchFailed(effect.pull.nonce))
             return
         begin = time.perf_counter_ns()
         prepared = pulling.prepare(peer.core, effect.pull, self.now)
         if isinstance(prepared, control.Busy):
-            fetched = spread.Fetched(prepared)
+            fetched = gossip.Fetched(prepared)
         else:
             fetched = self.unpack(peer, node, pulling.finish(prepared))
         peer.busy_ns += time.perf_counter_ns() - begin
         self.at(self.now + 2 * self.delay[1], self.post, node, fetched)
 
-    def unpack(self, peer: Node, node: Node, reply: control.UpdateReply) -> spread.Fetched:
+    def unpack(self, peer: Node, node: Node, reply: control.UpdateReply) -> gossip.Fetched:
         """Count the bytes of a large answer and unpack it."""
         peer.sent_bytes += len(reply.update)
         node.received_bytes += len(reply.update)
-        return spread.Fetched(reply, control.unpack_update(reply.update))
+        return gossip.Fetched(reply, control.unpack_update(reply.update))
 
-    def call(self, node: Node, call: spread_state.WatchPlatform) -> None:
+    def call(self, node: Node, call: gossip_state.WatchPlatform) -> None:
         """Take a call of the platform: answer, let it wait, or let it fail."""
         self.calls[call.stream] += 1
         node.called_at = self.now
         if not self.platform_up or not node.platform_up:
-            self.at(self.now + 50, self.post, node, spread.PlatformFailed(call.stream))
+            self.at(self.now + 50, self.post, node, gossip.PlatformFailed(call.stream))
         elif min(self.streams[call.stream].revision, node.ceiling) > call.after:
             self.answer(node, call)
         else:
             self.waiting.append((node, call))
             self.at(max(call.wait_until, self.now), self.time_out, node, call)
 
-    def time_out(self, node: Node, call: spread_state.WatchPlatform) -> None:
+    def time_out(self, node: Node, call: gossip_state.WatchPlatform) -> None:
         """Answer a watch for which nothing came."""
         for index, (_, waiting) in enumerate(self.waiting):
             if waiting is call:
@@ -275,13 +275,13 @@
                 self.answer(node, call)
                 return
 
-    def answer(self, node: Node, call: spread_state.WatchPlatform) -> None:
+    def answer(self, node: Node, call: gossip_state.WatchPlatform) -> None:
         """Send the platform's answer."""
         if not self.platform_up or not node.platform_up:
-            event = spread.PlatformFailed(call.stream)
+            event = gossip.PlatformFailed(call.stream)
         else:
             delta = self.streams[call.stream].delta(call.after, node.ceiling)
-            event = spread.PlatformRead(call.stream, delta, False)
+            event = gossip.PlatformRead(call.stream, delta, False)
         self.at(self.now + 3, self.post, node, event)
 
     def everyone(self, revision: int) -> bool:
--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -9,7 +9,7 @@
 - no answer at all: the process does not serve, and asks again.
 """
 
-from ebonystile.core.control import membership, probing, spread_state, watching
+from ebonystile.core.control import gossip_state, membership, probing, watching
 from ebonystile.peer import control
 
 PEERS_ASKED = 3
@@ -18,9 +18,9 @@
 SEEDS_ASKED = 4
 
 
-def begin(spread: spread_state.Spread, now: int, rounds: int = 0) -> None:
+def begin(spread: gossip_state.Spread, now: int, rounds: int = 0) -> None:
     """Ask the platform and several peers; the view is not used until `finish`."""
-    catch_up = spread_state.CatchUp(now + spread.limits.start_bound, rounds=rounds)
+    catch_up = gossip_state.CatchUp(now + spread.limits.start_bound, rounds=rounds)
     spread.catch_up = catch_up
     for stream in spread.streams.values():
         stream.next_at = now if not rounds else stream.next_at
@@ -36,23 +36,23 @@
         catch_up.asked[probing.ask(spread, address, "", now)] = address
 
 
-def on_beat(spread: spread_state.Spread, beat: control.Beat) -> None:
+def on_beat(spread: gossip_state.Spread, beat: control.Beat) -> None:
     """Count the answer of a peer, unless that peer is itself catching up."""
     catch_up = spread.catch_up
     if catch_up is None or catch_up.asked.pop(beat.answers, None) is None:
         return
     if beat.caught_up:
         catch_up.peers_answered += 1
-    catch_up.highest = catch_up.highest.join(spread_state.digest_of(beat))
+    catch_up.highest = catch_up.highest.join(gossip_state.digest_of(beat))
 
 
-def on_platform(spread: spread_state.Spread, stream: str, answered: bool) -> None:
+def on_platform(spread: gossip_state.Spread, stream: str, answered: bool) -> None:
     """Record whether the platform answered for a stream."""
     if spread.catch_up is not None:
         spread.catch_up.platform[stream] = answered
 
 
-def on_tick(spread: spread_state.Spread, now: int) -> None:
+def on_tick(spread: gossip_state.Spread, now: int) -> None:
     """Finish once there are enough answers, or start another round.
 
     The process goes on waiting while a peer that answered is ahead, since callers may already
@@ -77,7 +77,7 @@
         begin(spread, now, catch_up.rounds + 1)
 
 
-def finish(spread: spread_state.Spread, by_platform: bool) -> None:
+def finish(spread: gossip_state.Spread, by_platform: bool) -> None:
     """End catch-up; the view is used from now on."""
     digest = spread.configuration.digest
     spread.trace(
--- a/src/ebonystile/core/control/spread.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -16,10 +16,10 @@
 from ebonystile.core.control import (
     catching_up,
     configuration,
+    gossip_state,
     membership,
     probing,
     pulling,
-    spread_state,
     store,
     watching,
 )
@@ -89,12 +89,12 @@
     address: view.Address,
     zone: str,
     seeds: tuple[view.Address, ...],
-    limits: spread_state.Limits,
+    limits: gossip_state.Limits,
     randomness: rng.Rng,
     now: int,
-) -> spread_state.Spread:
+) -> gossip_state.Spread:
     """Return the state of a process that starts at `now`, with catch-up under way."""
-    spread = spread_state.Spread(
+    spread = gossip_state.Spread(
         membership.make_membership(name, role, address, zone, now, membership.Limits()),
         configuration.Configuration(),
         limits,
@@ -104,27 +104,27 @@
         started_at=now,
         heard_at=now,
         update_budget=budget.Budget(limits.update_rate, limits.update_burst),
-        catch_up=spread_state.CatchUp(until=now),
+        catch_up=gossip_state.CatchUp(until=now),
     )
     spread.membership.listed = spread.configuration.instances.entries
-    spread.streams = {name: spread_state.Stream(name) for name in watching.STREAMS}
+    spread.streams = {name: gossip_state.Stream(name) for name in watching.STREAMS}
     catching_up.begin(spread, now)
     return spread
 
 
-def decide(spread: spread_state.Spread, event, now: int) -> list[spread_state.Effect]:
+def decide(spread: gossip_state.Spread, event, now: int) -> list[gossip_state.Effect]:
     """Handle one event at time `now` (ms) and return the effects, in order."""
     notice_pause(spread, now)
     on_event(event, spread, now)
     if spread.changed and spread.caught_up:
         spread.changed = False
-        spread.pending.append(spread_state.InForce())
+        spread.pending.append(gossip_state.InForce())
     taken = spread.pending
     spread.pending = []
     return taken
 
 
-def notice_pause(spread: spread_state.Spread, now: int) -> None:
+def notice_pause(spread: gossip_state.Spread, now: int) -> None:
     """Start catch-up after a pause of the process, since its view may be out of date.
 
     A running process ticks every 100 ms, so a long gap means that it was stopped. Probes and calls
@@ -142,12 +142,12 @@
     for stream in spread.streams.values():
         stream.calling_until = 0
     spread.heard_at = now
-    spread.pending.append(spread_state.FellBehind())
+    spread.pending.append(gossip_state.FellBehind())
     catching_up.begin(spread, now)
 
 
 @functools.singledispatch
-def on_event(event, spread: spread_state.Spread, now: int) -> None:
+def on_event(event, spread: gossip_state.Spread, now: int) -> None:
     """Handle one event."""
     raise TypeError(f"no rule for {type(event).__name__}")
 
@@ -215,7 +215,7 @@
 
 
 @functools.singledispatch
-def on_message(message, spread: spread_state.Spread, address: view.Address, now: int) -> None:
+def on_message(message, spread: gossip_state.Spread, address: view.Address, now: int) -> None:
     """Handle one message of another process."""
     raise TypeError(f"no rule for {type(message).__name__}")
 
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -1,7 +1,7 @@
 """Exchange revisions and membership with random peers, and detect peers that do not answer."""
 
 from ebonystile.core import view
-from ebonystile.core.control import membership, pulling, spread_state
+from ebonystile.core.control import gossip_state, membership, pulling
 from ebonystile.peer import control
 
 HELPERS = 3
@@ -24,7 +24,7 @@
 MAX_GENERATION = 1 << 63
 
 
-def on_tick(spread: spread_state.Spread, now: int) -> None:
+def on_tick(spread: gossip_state.Spread, now: int) -> None:
     """Do what is due: time out probes, exchange, push a change, prune the membership."""
     for nonce, probe in list(spread.probes.items()):
         if now >= probe.deadline:
@@ -44,7 +44,7 @@
             del spread.helping[name]
 
 
-def ask_random(spread: spread_state.Spread, now: int) -> None:
+def ask_random(spread: gossip_state.Spread, now: int) -> None:
     """Send a beat to one random peer and ask for its beat."""
     name = choose(spread)
     if name is None:
@@ -56,7 +56,7 @@
         ask(spread, address, name, now)
 
 
-def choose(spread: spread_state.Spread) -> str | None:
+def choose(spread: gossip_state.Spread) -> str | None:
     """Return the name of a random peer, or None for one of the seeds."""
     draw = spread.randomness.random()
     names = spread.balancers or spread.sidecars
@@ -74,18 +74,18 @@
     return None
 
 
-def ask(spread: spread_state.Spread, address: view.Address, name: str, now: int) -> int:
+def ask(spread: gossip_state.Spread, address: view.Address, name: str, now: int) -> int:
     """Send a beat that asks for one; with a `name`, a peer that does not answer is suspected."""
     nonce = spread.new_nonce()
     if name:
-        spread.probes[nonce] = spread_state.Probe(name, now + spread.limits.answer)
+        spread.probes[nonce] = gossip_state.Probe(name, now + spread.limits.answer)
     first = newer_word(spread, name, MAX_GENERATION)
     spread.send(address, spread.beat(nonce=nonce, first=first))
     return nonce
 
 
 def newer_word(
-    spread: spread_state.Spread, name: str, generation: int
+    spread: gossip_state.Spread, name: str, generation: int
 ) -> membership.Statement | None:
     """Return the statement on a process if it overrides that of the process itself, else None.
 
@@ -99,19 +99,19 @@
     return statement if accused or statement.generation > generation else None
 
 
-def tell_random(spread: spread_state.Spread) -> None:
+def tell_random(spread: gossip_state.Spread) -> None:
     """Push this process's revisions to a few random balancers, which pull what they lack."""
     for name in pick_usable(spread, spread.limits.fanout, ""):
         spread.send(spread.membership.address_of(name), spread.beat())
 
 
-def pick_usable(spread: spread_state.Spread, count: int, banned: str) -> list[str]:
+def pick_usable(spread: gossip_state.Spread, count: int, banned: str) -> list[str]:
     """Return up to `count` random balancers that are usable."""
     names = membership.pick(spread.balancers, 2 * count, spread.randomness, {banned})
     return [name for name in names if spread.membership.usable(name)][:count]
 
 
-def on_silence(spread: spread_state.Spread, nonce: int, probe: spread_state.Probe, now: int):
+def on_silence(spread: gossip_state.Spread, nonce: int, probe: gossip_state.Probe, now: int):
     """Have other peers probe one that did not answer; suspect it if they got no answer either."""
     del spread.probes[nonce]
     if probe.indirect:
@@ -123,14 +123,14 @@
     if address is None or not spread.membership.usable(probe.name):
         return
     deadline = now + 3 * spread.limits.answer
-    spread.probes[nonce] = spread_state.Probe(probe.name, deadline, indirect=True)
+    spread.probes[nonce] = gossip_state.Probe(probe.name, deadline, indirect=True)
     for name in pick_usable(spread, HELPERS, probe.name):
         question = control.ProbeFor(probe.name, address)
         spread.send(spread.membership.address_of(name), question)
 
 
 def on_probe_for(
-    spread: spread_state.Spread, asker: view.Address, message: control.ProbeFor, now: int
+    spread: gossip_state.Spread, asker: view.Address, message: control.ProbeFor, now: int
 ) -> None:
     """Probe a process on behalf of another, which is sent the answer."""
     if len(spread.helping) >= MAX_HELPING:
@@ -140,7 +140,7 @@
 
 
 def on_beat(
-    spread: spread_state.Spread, address: view.Address, beat: control.Beat, now: int
+    spread: gossip_state.Spread, address: view.Address, beat: control.Beat, now: int
 ) -> None:
     """Apply a peer's statements on itself and others, and answer if it asks for a beat."""
     sender = control.unpack_statement(beat.sender)
@@ -159,14 +159,14 @@
     settle(spread, beat, sender, items)
     spread.heard_at = now
     spread.note_fresh(beat.fresh_as_of, now)
-    pulling.note_ahead(spread, address, spread_state.digest_of(beat), now)
+    pulling.note_ahead(spread, address, gossip_state.digest_of(beat), now)
     if beat.nonce:
         first = newer_word(spread, sender.name, sender.generation)
         spread.send(address, spread.beat(answers=beat.nonce, first=first))
 
 
 def settle(
-    spread: spread_state.Spread,
+    spread: gossip_state.Spread,
     beat: control.Beat,
     sender: membership.Statement,
     items: list[membership.Statement],
--- a/src/ebonystile/core/control/pulling.py
+++ b/src/ebonystile/core/control/pulling.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from ebonystile.core import view
-from ebonystile.core.control import configuration, membership, spread_state
+from ebonystile.core.control import configuration, gossip_state, membership
 from ebonystile.peer import control
 
 MAX_AHEAD = 8
@@ -27,7 +27,7 @@
 
 
 def note_ahead(
-    spread: spread_state.Spread, address: view.Address, digest: configuration.Digest, now: int
+    spread: gossip_state.Spread, address: view.Address, digest: configuration.Digest, now: int
 ) -> None:
     """Remember a peer that is ahead and schedule a pull; jitter spreads the pulls of the fleet."""
     if not spread.configuration.digest.behind(digest):
@@ -40,7 +40,7 @@
     spread.ahead[address] = digest
 
 
-def on_tick(spread: spread_state.Spread, now: int) -> None:
+def on_tick(spread: gossip_state.Spread, now: int) -> None:
     """Time out the pull under way and start one that is due."""
     if spread.pull is not None and now >= spread.pull.deadline:
         forget(spread, now)
@@ -54,7 +54,7 @@
         start(spread, addresses[spread.randomness.randrange(len(addresses))], now)
 
 
-def fill_in(spread: spread_state.Spread, now: int) -> None:
+def fill_in(spread: gossip_state.Spread, now: int) -> None:
     """Pull the older value of a refused document, which may be in force in other processes."""
     if spread.pull is not None or now < spread.fill_at or not spread.configuration.incomplete:
         return
@@ -63,7 +63,7 @@
         start(spread, spread.membership.address_of(name), now)
 
 
-def start(spread: spread_state.Spread, address: view.Address, now: int) -> None:
+def start(spread: gossip_state.Spread, address: view.Address, now: int) -> None:
     """Send a pull; the answer to a first one is large, so it goes over a websocket."""
     wanted = spread.configuration.wanted()
     pull = control.make_pull(spread.new_nonce(), wanted)
@@ -71,18 +71,18 @@
     if wanted.digest.values == 0:
         fetch(spread, address, pull, now)
         return
-    spread.pull = spread_state.PullUnderWay(pull.nonce, address, deadline)
+    spread.pull = gossip_state.PullUnderWay(pull.nonce, address, deadline)
     spread.send(address, pull)
 
 
-def fetch(spread: spread_state.Spread, address: view.Address, pull: control.Pull, now: int) -> None:
+def fetch(spread: gossip_state.Spread, address: view.Address, pull: control.Pull, now: int) -> None:
     """Send a pull over a websocket."""
     wait_until = now + WEBSOCKET_TIMEOUTS * spread.limits.pull_timeout
-    spread.pull = spread_state.PullUnderWay(pull.nonce, address, wait_until)
-    spread.pending.append(spread_state.Fetch(address, pull, wait_until))
+    spread.pull = gossip_state.PullUnderWay(pull.nonce, address, wait_until)
+    spread.pending.append(gossip_state.Fetch(address, pull, wait_until))
 
 
-def forget(spread: spread_state.Spread, now: int) -> None:
+def forget(spread: gossip_state.Spread, now: int) -> None:
     """Drop the pull under way and its peer, and schedule a pull from another peer."""
     spread.ahead.pop(spread.pull.address, None)
     spread.pull = None
@@ -90,7 +90,7 @@
 
 
 def on_reply(
-    spread: spread_state.Spread,
+    spread: gossip_state.Spread,
     reply: control.UpdateReply,
     update: configuration.Update,
     now: int,
@@ -106,20 +106,20 @@
         spread.pull_at = now
 
 
-def on_too_large(spread: spread_state.Spread, nonce: int, now: int) -> None:
+def on_too_large(spread: gossip_state.Spread, nonce: int, now: int) -> None:
     """Repeat the pull over a websocket."""
     if spread.pull is not None and spread.pull.nonce == nonce:
         pull = control.make_pull(nonce, spread.configuration.wanted())
         fetch(spread, spread.pull.address, pull, now)
 
 
-def on_failed(spread: spread_state.Spread, nonce: int, now: int) -> None:
+def on_failed(spread: gossip_state.Spread, nonce: int, now: int) -> None:
     """Drop the failed pull and schedule one from another peer."""
     if spread.pull is not None and spread.pull.nonce == nonce:
         forget(spread, now)
 
 
-def on_busy(spread: spread_state.Spread, busy: control.Busy, now: int) -> None:
+def on_busy(spread: gossip_state.Spread, busy: control.Busy, now: int) -> None:
     """Turn to the peers named by a busy one; a starting process may know only its seeds."""
     if spread.pull is None or spread.pull.nonce != busy.nonce:
         return
@@ -140,7 +140,7 @@
     update: configuration.Update
 
 
-def prepare(spread: spread_state.Spread, pull: control.Pull, now: int) -> Prepared | control.Busy:
+def prepare(spread: gossip_state.Spread, pull: control.Pull, now: int) -> Prepared | control.Busy:
     """Return the answer to a pull, or a refusal if the budget does not allow it."""
     update = spread.configuration.update_for(control.wanted_of(pull))
     size = estimate(update)
@@ -165,7 +165,7 @@
 
 
 def serve(
-    spread: spread_state.Spread, pull: control.Pull, now: int
+    spread: gossip_state.Spread, pull: control.Pull, now: int
 ) -> control.UpdateReply | control.TooLarge | control.Busy:
     """Return the answer to a pull that arrived as a datagram, or a refusal if it does not fit."""
     update = spread.configuration.update_for(control.wanted_of(pull))
@@ -179,7 +179,7 @@
     return reply
 
 
-def busy(spread: spread_state.Spread, pull: control.Pull, size: int, now: int) -> control.Busy:
+def busy(spread: gossip_state.Spread, pull: control.Pull, size: int, now: int) -> control.Busy:
     """Return the refusal of a pull, with other peers to ask."""
     names = membership.pick(spread.balancers, OTHERS, spread.randomness, set())
     others = (spread.membership.address_of(n) for n in names if spread.membership.usable(n))
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -12,18 +12,18 @@
 
 import xxhash
 
-from ebonystile.core.control import spread_state, store
+from ebonystile.core.control import gossip_state, store
 
 VALUES, INSTANCES = "values", "instances"
 STREAMS = (VALUES, INSTANCES)
 
 
-def rank_of_self(spread: spread_state.Spread, now: int) -> int:
+def rank_of_self(spread: gossip_state.Spread, now: int) -> int:
     """Return the number of balancers of the zone that rank above this process in this epoch."""
     if now < spread.rank_at:
         return spread.rank
     epoch = now // spread.limits.epoch
-    spread.rank_at = min(now + spread_state.ROSTER_MS, (epoch + 1) * spread.limits.epoch)
+    spread.rank_at = min(now + gossip_state.ROSTER_MS, (epoch + 1) * spread.limits.epoch)
     own_weight = weight(spread.membership.own.name, epoch)
     spread.rank = sum(
         weight(name, epoch) > own_weight
@@ -38,12 +38,12 @@
     return xxhash.xxh3_64_intdigest(name.encode(), seed=epoch)
 
 
-def may_watch(spread: spread_state.Spread) -> bool:
+def may_watch(spread: gossip_state.Spread) -> bool:
     """Return whether this process may be a watcher: sidecars only if no balancer is known."""
     return spread.is_balancer or not spread.balancers
 
 
-def on_tick(spread: spread_state.Spread, now: int) -> None:
+def on_tick(spread: gossip_state.Spread, now: int) -> None:
     """Time out old calls and start those that are due."""
     for stream in spread.streams.values():
         if stream.calling_until and now >= stream.calling_until:
@@ -60,7 +60,7 @@
             call(spread, stream, wait, now)
 
 
-def duty(spread: spread_state.Spread, now: int) -> int | None:
+def duty(spread: gossip_state.Spread, now: int) -> int | None:
     """Return how long calls by this process should wait for changes (ms), or None for no calls."""
     limits = spread.limits
     if spread.catch_up is not None:
@@ -86,7 +86,7 @@
     return None
 
 
-def patience(spread: spread_state.Spread, rank: int) -> float:
+def patience(spread: gossip_state.Spread, rank: int) -> float:
     """Return the age of the last confirmation (ms) at which a process of this rank takes over."""
     limits = spread.limits
     if rank >= limits.watchers_most:
@@ -94,29 +94,29 @@
     return limits.stale * (1 + math.log2(1 + (rank - limits.watchers) / limits.watchers))
 
 
-def solo_gap(spread: spread_state.Spread) -> int:
+def solo_gap(spread: gossip_state.Spread) -> int:
     """Return the least interval of one process's calls (ms) that keeps to the fleet's rate."""
     fleet = len(spread.balancers) + len(spread.sidecars) + 1
     return max(spread.limits.solo_gap, fleet * 1000 // spread.limits.solo_rate)
 
 
-def call(spread: spread_state.Spread, stream: spread_state.Stream, wait: int, now: int) -> None:
+def call(spread: gossip_state.Spread, stream: gossip_state.Stream, wait: int, now: int) -> None:
     """Ask the platform for the changes after the known revision."""
     stream.called_at = now
     stream.calling_until = now + wait + spread.limits.call_margin
     spread.pending.append(
-        spread_state.WatchPlatform(stream.name, known(spread, stream.name), now + wait)
+        gossip_state.WatchPlatform(stream.name, known(spread, stream.name), now + wait)
     )
 
 
-def known(spread: spread_state.Spread, name: str) -> int:
+def known(spread: gossip_state.Spread, name: str) -> int:
     """Return the revision up to which the stream is complete."""
     digest = spread.configuration.digest
     return digest.values if name == VALUES else digest.instances
 
 
 def on_read(
-    spread: spread_state.Spread, name: str, delta: store.Delta, more: bool, now: int
+    spread: gossip_state.Spread, name: str, delta: store.Delta, more: bool, now: int
 ) -> None:
     """Handle an answer; one of a revision below the known one counts as a failure.
 
@@ -140,7 +140,7 @@
     spread.fresh_as_of = max(spread.fresh_as_of, confirmed)
 
 
-def on_failed(spread: spread_state.Spread, name: str, now: int) -> None:
+def on_failed(spread: gossip_state.Spread, name: str, now: int) -> None:
     """Delay the next call by exponential backoff with jitter."""
     limits = spread.limits
     stream = spread.streams[name]
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -17,7 +17,7 @@
 from ebonystile import clock, errors, logs, loop, settings
 from ebonystile.core import view
 from ebonystile.core.calls import effects
-from ebonystile.core.control import assembly, configuration, pulling, spread, spread_state, watching
+from ebonystile.core.control import assembly, configuration, gossip, gossip_state, pulling, watching
 from ebonystile.peer import bulk, control, seal
 from ebonystile.platform import client
 
@@ -63,7 +63,7 @@
         self.on_behind = on_behind
         self.notice = notice
         self.bulk_seal = seal.make_seal(config.keys, incarnation)
-        self.core = spread.make_spread(
+        self.core = gossip.make_spread(
             config.name,
             role,
             config.address,
@@ -83,8 +83,8 @@
         """Begin to catch up; messages go out by the socket towards the other processes."""
         self.seal = own_seal
         self.socket = peers
-        self.owner.every(TICK_MS, functools.partial(self.take, spread.Tick()))
-        self.take(spread.Tick())
+        self.owner.every(TICK_MS, functools.partial(self.take, gossip.Tick()))
+        self.take(gossip.Tick())
 
     def stop(self) -> None:
         """End the executors; what waits for an answer is not waited for."""
@@ -102,12 +102,12 @@
 
     def take(self, event: typing.Any) -> None:
         """Give the core an event and carry out what it decides."""
-        for effect in spread.decide(self.core, event, clock.now()):
+        for effect in gossip.decide(self.core, event, clock.now()):
             carry_out(effect, self)
 
     def leave(self) -> None:
         """Tell the other processes that this one is leaving."""
-        self.take(spread.Leave())
+        self.take(gossip.Leave())
 
     def on_opened(self, opened: seal.Opened, source: view.Address) -> bool:
         """Take a sealed datagram if it is a control message; return whether it was.
@@ -115,10 +115,10 @@
         Every datagram shows its sender's revision: a higher one than ours leads to a pull.
         """
         if opened.revision > self.core.configuration.digest.values:
-            self.take(spread.Shown(source, opened.revision))
+            self.take(gossip.Shown(source, opened.revision))
         if not opened.content or opened.content[0] >> 5 != CBOR_ARRAY:
             return False
-        self.take(spread.Arrived(source, control.CONTROL.decode(opened.content)))
+        self.take(gossip.Arrived(source, control.CONTROL.decode(opened.content)))
         return True
 
     def suspected(self) -> tuple[str, ...]:
@@ -157,17 +157,17 @@
             # The asking thread reports it; the owner thread must go on.
             future.set_exception(error)
 
-    def call_platform(self, effect: spread_state.WatchPlatform) -> spread.PlatformRead:
+    def call_platform(self, effect: gossip_state.WatchPlatform) -> gossip.PlatformRead:
         """Make one call of the platform; runs in an executor."""
         if effect.stream == watching.VALUES:
             answer = self.platform.watch(effect.after, effect.wait_until)
             values = ((entry.key, entry.revision, entry.value) for entry in answer.entries)
             delta = configuration.values_delta(effect.after, answer.revision, values)
-            return spread.PlatformRead(effect.stream, delta, answer.more)
+            return gossip.PlatformRead(effect.stream, delta, answer.more)
         listed = self.platform.instances(effect.after, effect.wait_until)
         instances = (instance_of(entry) for entry in listed.entries)
         delta = configuration.instances_delta(effect.after, listed.revision, instances)
-        return spread.PlatformRead(effect.stream, delta, listed.more)
+        return gossip.PlatformRead(effect.stream, delta, listed.more)
 
     def on_called(self, stream: str, future: concurrent.futures.Future) -> None:
         """Tell the core what the platform answered."""
@@ -181,18 +181,18 @@
             logs.failure("platform_call_failed", error)
         else:
             self.notice("platform_failed", level="WARNING", stream=stream, error=str(error))
-        self.post(spread.PlatformFailed(stream))
+        self.post(gossip.PlatformFailed(stream))
 
-    def fetch(self, effect: spread_state.Fetch) -> spread.Fetched:
+    def fetch(self, effect: gossip_state.Fetch) -> gossip.Fetched:
         """Send a pull over a websocket and unpack its answer; runs in an executor."""
         question = self.bulk_seal.seal(control.CONTROL.to_items(effect.pull))
         data = bulk.exchange(effect.address, PATH, question, effect.wait_until)
         body = self.bulk_seal.open(data, replayable=True).body
         reply = control.CONTROL.from_items(body)
         if isinstance(reply, control.UpdateReply):
-            return spread.Fetched(reply, control.unpack_update(reply.update))
+            return gossip.Fetched(reply, control.unpack_update(reply.update))
         if isinstance(reply, control.Busy):
-            return spread.Fetched(reply)
+            return gossip.Fetched(reply)
         raise errors.DatagramError("not an answer to a pull", step="pull", peer="peer")
 
     def on_fetched(self, nonce: int, future: concurrent.futures.Future) -> None:
@@ -207,7 +207,7 @@
             logs.failure("pull_failed", error)
         else:
             self.notice("pull_failed", level="DEBUG", error=str(error))
-        self.post(spread.FetchFailed(nonce))
+        self.post(gossip.FetchFailed(nonce))
 
 
 def instance_of(entry: client.Instance) -> tuple[assembly.Instance, bool]:
@@ -218,9 +218,9 @@
     return instance, entry.state == "gone"
 
 
-def make_limits(config: settings.ProcessSettings) -> spread_state.Limits:
+def make_limits(config: settings.ProcessSettings) -> gossip_state.Limits:
     """Return the core's bounds as the settings give them."""
-    return spread_state.Limits(
+    return gossip_state.Limits(
         exchange=config.exchange_ms,
         watch=config.watch_ms,
         instances_gap=config.instances_poll_ms,
@@ -234,32 +234,32 @@
 
 
 @carry_out.register
-def _(effect: spread_state.SendMessage, shell):
+def _(effect: gossip_state.SendMessage, shell):
     body = control.CONTROL.to_items(effect.message)
     loop.send(shell.socket, shell.seal.seal(body), effect.address)
 
 
 @carry_out.register
-def _(effect: spread_state.WatchPlatform, shell):
+def _(effect: gossip_state.WatchPlatform, shell):
     future = shell.calls.submit(shell.call_platform, effect)
     future.add_done_callback(functools.partial(shell.on_called, effect.stream))
 
 
 @carry_out.register
-def _(effect: spread_state.Fetch, shell):
+def _(effect: gossip_state.Fetch, shell):
     future = shell.fetches.submit(shell.fetch, effect)
     future.add_done_callback(functools.partial(shell.on_fetched, effect.pull.nonce))
 
 
 @carry_out.register
-def _(effect: spread_state.InForce, shell):
+def _(effect: gossip_state.InForce, shell):
     newest = shell.core.configuration.view
     shell.seal.revision = newest.revision
     shell.on_view(newest)
 
 
 @carry_out.register
-def _(effect: spread_state.FellBehind, shell):
+def _(effect: gossip_state.FellBehind, shell):
     shell.on_behind()
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,7 +9,7 @@
 
 from benches import fleet
 from ebonystile import errors
-from ebonystile.core.control import assembly, configuration, spread, store
+from ebonystile.core.control import assembly, configuration, gossip, store
 from ebonystile.peer import control
 
 INSTANCE = assembly.Instance("line-1", "upstream", ("10.0.0.1", 7000), "umea", True)
@@ -60,7 +60,7 @@
     made.run(5_000)
     before = (node.core.configuration.digest, dict(node.core.membership.members))
     with pytest.raises(errors.DatagramError):
-        spread.decide(node.core, spread.Arrived(("10.0.0.9", 7000), message), made.now)
+        gossip.decide(node.core, gossip.Arrived(("10.0.0.9", 7000), message), made.now)
     assert (node.core.configuration.digest, node.core.membership.members) == before
     assert node.core.caught_up
 
--- a/tests/test_spread.py
+++ b/tests/test_gossip.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from benches import fleet
-from ebonystile.core.control import configuration, spread, spread_state
+from ebonystile.core.control import configuration, gossip, gossip_state
 
 SECOND = 1_000
 ZONES = ("lulea-a", "lulea-b", "umea")
@@ -206,7 +206,7 @@
     f = make_fleet(6)
     sidecar = f.add("line-1", role="upstream", seeds=["b0", "b1"])
     f.run(10 * SECOND)
-    f.post(sidecar, spread.Leave())
+    f.post(sidecar, gossip.Leave())
     f.run(15 * SECOND)
     for node in f.names.values():
         if node is not sidecar:
@@ -251,9 +251,9 @@
 def test_revision_on_a_packet_of_the_data_path_leads_to_a_pull():
     f = make_fleet(3)
     node = f.names["b1"]
-    effects = spread.decide(node.core, spread.Shown(("10.0.0.1", 1), 99), f.now)
-    effects += spread.decide(node.core, spread.Tick(), f.now + 150)
-    pulls = [e for e in effects if isinstance(e, spread_state.SendMessage)]
+    effects = gossip.decide(node.core, gossip.Shown(("10.0.0.1", 1), 99), f.now)
+    effects += gossip.decide(node.core, gossip.Tick(), f.now + 150)
+    pulls = [e for e in effects if isinstance(e, gossip_state.SendMessage)]
     assert [e.address for e in pulls if e.message.KIND == 65] == [("10.0.0.1", 1)]
 
 
