--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -273,7 +273,7 @@
     if found is None:
         return todo
     upstream = found.asked.get(source) or balancer.fleet.by_address.get(source)
-    if source in found.probed and message.holding is messages.Holding.ABSENT:
+    if source in found.probed and message.flow_status is messages.FlowStatus.ABSENT:
         found.exclude(source)
     elif upstream is None or not found.answer(upstream, message):
         return todo
@@ -299,7 +299,7 @@
     for address in message.sidecars:
         announcing.note(balancer.fleet, address, now + announcing.ASKER_KEEPS_MS)
     witnesses = announcing.witnesses_of(balancer.fleet)
-    balancer.confirmation.take(source, message.listening, witnesses)
+    balancer.confirmation.take(source, message.listened_ms, witnesses)
     return []
 
 
@@ -308,10 +308,10 @@
     todo = effects.read_again(message.version, balancer.current.routes.version)
     answers = {
         holding: messages.Answer(NO_FLOW, message.version, holding, message.load, message.revision)
-        for holding in messages.Holding
+        for holding in messages.FlowStatus
     }
     flows = balancer.batch.flows_of(message.number)
-    for flow, holding in zip(flows, message.holdings, strict=False):
+    for flow, holding in zip(flows, message.flow_statuses, strict=False):
         found = balancer.searches.get(flow)
         if found is None or source not in found.asked:
             continue
--- a/src/ebonystile/core/carrying/messages.py
+++ b/src/ebonystile/core/carrying/messages.py
@@ -9,7 +9,7 @@
 from ebonystile.core.carrying import packet
 
 
-class Holding(enum.IntEnum):
+class FlowStatus(enum.IntEnum):
     """What a sidecar knows of a flow at its upstream.
 
     OFFERED is a flow that the upstream has accepted and its caller not yet continued. UNKNOWN is
@@ -28,19 +28,19 @@
 
     `running` is the number of running requests, including those expected on flows just opened;
     `flows` is the number of open flows. `latency` is the average latency of recent requests in ms,
-    0 without any, and `good` the share of recent requests that got a proper answer. `accepting` is
-    set if the upstream takes new flows, `silent` if it leaves opening packets unanswered,
-    `saturated` if a request runs on each of its slots, and `full` if it is cold and the limit on
-    its new flows is reached.
+    0 without any, and `success_rate` the share of recent requests that got a proper answer.
+    `accepting` is set if the upstream takes new flows, `unresponsive` if it leaves opening packets
+    unanswered, `saturated` if a request runs on each of its slots, and `full` if the limit on new
+    flows during its slow start is reached.
     """
 
     running: int = 0
     flows: int = 0
     slots: int = 1
     latency: int = 0
-    good: float = 1.0
+    success_rate: float = 1.0
     accepting: bool = True
-    silent: bool = False
+    unresponsive: bool = False
     saturated: bool = False
     full: bool = False
 
@@ -68,7 +68,7 @@
 
     flow: packet.Flow
     version: int
-    holding: Holding
+    flow_status: FlowStatus
     load: Load
     revision: int = 0
 
@@ -77,7 +77,7 @@
 class AskMany:
     """Ask about many open flows at once, each with its caller's acknowledgement number.
 
-    The answer repeats `number` and has one holding for each question, in the same order.
+    The answer repeats `number` and has one status for each question, in the same order.
     """
 
     number: int
@@ -91,7 +91,7 @@
 
     number: int
     version: int
-    holdings: tuple[Holding, ...]
+    flow_statuses: tuple[FlowStatus, ...]
     load: Load
     revision: int = 0
 
@@ -179,10 +179,10 @@
 class AnswerUnlisted:
     """The answer to `AskUnlisted`.
 
-    `listening` is for how long the answering process has received announcements, in ms.
+    `listened_ms` is for how long the answering process has received announcements.
     """
 
-    listening: int
+    listened_ms: int
     sidecars: tuple[tuple[str, int], ...]
 
 
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -54,7 +54,7 @@
         return None
     if found.goes_on and not chosen.calm:
         return None
-    if chosen.load.silent and not found.all_answered() and now < found.give_up_at:
+    if chosen.load.unresponsive and not found.all_answered() and now < found.give_up_at:
         return None
     if chosen.overloaded and now < found.started_at + HOLD_MS:
         return hold(known, found, chosen, now)
@@ -159,5 +159,5 @@
         "running": load.running,
         "flows": load.flows,
         "latency_ms": load.latency,
-        "good": round(load.good, 2),
+        "good": round(load.success_rate, 2),
     }
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -67,7 +67,7 @@
     @property
     def unavailable(self) -> tuple[bool, bool]:
         """Return whether it is silent, and whether it may get no more flows just now."""
-        return (self.load.silent, self.load.full)
+        return (self.load.unresponsive, self.load.full)
 
     @property
     def calm(self) -> bool:
@@ -98,7 +98,7 @@
     accepting = [(upstream, load) for upstream, load in answers if load.accepting]
     flow_work = mean_flow_work([load for _, load in accepting])
     usual = usual_latency([load for _, load in accepting])
-    best_good = max((load.good for _, load in accepting), default=1.0)
+    best_good = max((load.success_rate for _, load in accepting), default=1.0)
     return [
         Standing(
             upstream,
@@ -138,7 +138,7 @@
 
 def goodness(load: messages.Load, best_good: float) -> float:
     """Return the share of good results as compared with the best that others have."""
-    return max(LEAST_GOOD, load.good) / max(LEAST_GOOD, best_good)
+    return max(LEAST_GOOD, load.success_rate) / max(LEAST_GOOD, best_good)
 
 
 def best(standings: typing.Sequence[Standing]) -> Standing | None:
--- a/src/ebonystile/core/carrying/search.py
+++ b/src/ebonystile/core/carrying/search.py
@@ -111,7 +111,7 @@
 
     def decisive(self, answer: messages.Answer) -> bool:
         """Tell whether the answer ends the search by itself."""
-        return answer.holding >= messages.Holding.OFFERED
+        return answer.flow_status >= messages.FlowStatus.OFFERED
 
     def exclude(self, address: view.Address) -> None:
         """Leave out an upstream that gave the flow's packet back."""
@@ -122,7 +122,7 @@
     def keeper(self) -> fleet.Upstream | None:
         """Return the upstream that holds the flow, or has accepted it, if one said so."""
         kept = [
-            (answer.holding, upstream)
+            (answer.flow_status, upstream)
             for upstream, answer in self.answers.values()
             if self.decisive(answer) and upstream.address not in self.excluded
         ]
@@ -137,7 +137,7 @@
         return [
             u
             for u, a in self.in_order()
-            if a.holding is messages.Holding.UNKNOWN and u.address not in self.probed
+            if a.flow_status is messages.FlowStatus.UNKNOWN and u.address not in self.probed
         ]
 
     def open_probes(self) -> bool:
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -177,9 +177,9 @@
             flows=len(self.table.flows),
             slots=slots,
             latency=round(self.table.results.latency),
-            good=self.table.results.good_at(now),
+            success_rate=self.table.results.good_at(now),
             accepting=not self.refusal(),
-            silent=self.silent(now),
+            unresponsive=self.silent(now),
             saturated=len(self.table.busy) >= slots,
             full=not self.room(now),
         )
@@ -202,11 +202,15 @@
             return messages.Reason.DRAINED
         return None
 
-    def holding(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.Holding:
+    def holding(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.FlowStatus:
         """Return whether the upstream holds the flow; UNKNOWN while the table is incomplete."""
         holding = self.table.holding(flow, acknowledged)
-        if holding is messages.Holding.ABSENT and self.incomplete(now) and flow not in self.absent:
-            return messages.Holding.UNKNOWN
+        if (
+            holding is messages.FlowStatus.ABSENT
+            and self.incomplete(now)
+            and flow not in self.absent
+        ):
+            return messages.FlowStatus.UNKNOWN
         return holding
 
     def answer(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.Answer:
@@ -293,7 +297,7 @@
             version = self.current.routes.version
             load = self.load(now)
             return messages.Answer(
-                received.flow, version, messages.Holding.ABSENT, load, self.revision
+                received.flow, version, messages.FlowStatus.ABSENT, load, self.revision
             )
         return self.returned(messages.Reason.ABSENT, received.raw)
 
@@ -436,7 +440,7 @@
 @act.register
 def _(message: messages.Carry, sidecar, received, source, now):
     holding = sidecar.table.holding(received.flow, received.acknowledged)
-    if holding is messages.Holding.ABSENT:
+    if holding is messages.FlowStatus.ABSENT:
         return sidecar.give_unknown(received, source, now, kept=False)
     held = sidecar.table.flows[received.flow]
     if held.held and not received.aborts and sidecar.upstream_lost(held, now):
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -190,18 +190,18 @@
         if held.closed:
             self.pending.pop(sent.flow, None)
 
-    def holding(self, flow: packet.Flow, acknowledged: int) -> messages.Holding:
+    def holding(self, flow: packet.Flow, acknowledged: int) -> messages.FlowStatus:
         """Return whether the upstream holds the flow, as far as the table shows."""
         held = self.flows.get(flow)
         if held is None:
-            return messages.Holding.ABSENT
+            return messages.FlowStatus.ABSENT
         if held.held:
-            return messages.Holding.HELD
+            return messages.FlowStatus.HELD
         if held.offered is None:
-            return messages.Holding.ABSENT
+            return messages.FlowStatus.ABSENT
         if acknowledged and not continues(held.offered, acknowledged):
-            return messages.Holding.ABSENT
-        return messages.Holding.OFFERED
+            return messages.FlowStatus.ABSENT
+        return messages.FlowStatus.OFFERED
 
     def running(self, now: int) -> int:
         """Return the number of running requests and of flows about to send one; fail stuck ones."""
--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -70,7 +70,7 @@
         message.flow,
         message.version,
         message.revision,
-        message.holding,
+        message.flow_status,
         *fields_of(message.load),
     )
 
@@ -90,7 +90,7 @@
         message.revision,
         *fields_of(message.load),
     )
-    return head + bytes(message.holdings)
+    return head + bytes(message.flow_statuses)
 
 
 def fields_of(load: messages.Load) -> tuple[int, int, int, int, int, int]:
@@ -100,14 +100,14 @@
         load.flows,
         min(load.slots, MOST),
         min(load.latency, MOST),
-        round(load.good * GOOD_SCALE),
+        round(load.success_rate * GOOD_SCALE),
         marks_of(load),
     )
 
 
 def marks_of(load: messages.Load) -> int:
     """Return the bit flags of a load."""
-    marks = ACCEPTING * load.accepting | SILENT * load.silent
+    marks = ACCEPTING * load.accepting | SILENT * load.unresponsive
     return marks | SATURATED * load.saturated | FULL * load.full
 
 
@@ -154,7 +154,7 @@
 
 @pack.register
 def _(message: messages.AnswerUnlisted):
-    listening = min(message.listening, MOST_LISTENING)
+    listening = min(message.listened_ms, MOST_LISTENING)
     head = ANSWER_UNLISTED.pack(ANSWER_UNLISTED_TYPE, listening, len(message.sidecars))
     return head + b"".join(map(unlisted_bytes, message.sidecars))
 
@@ -182,7 +182,7 @@
 def read_answer(data: bytes) -> messages.Answer:
     """Return the `Answer` message in the datagram."""
     _, flow, version, revision, holding, *load = ANSWER.unpack(data)
-    return messages.Answer(flow, version, messages.Holding(holding), load_of(*load), revision)
+    return messages.Answer(flow, version, messages.FlowStatus(holding), load_of(*load), revision)
 
 
 def read_ask_many(data: bytes) -> messages.AskMany:
@@ -241,7 +241,7 @@
     return messages.AnswerUnlisted(listening, sidecars)
 
 
-HOLDINGS = tuple(messages.Holding)
+HOLDINGS = tuple(messages.FlowStatus)
 
 READERS: dict[int, typing.Callable[[bytes], messages.Message]] = {
     ASK_TYPE: read_ask,
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -132,7 +132,7 @@
     scene.known(scene.sidecars)
     question = messages.AskUnlisted()
     (sent,) = core.on_message(question, None, scene.balancers[0].address, scene.now - 1)
-    assert carrying.unpack(carrying.pack(sent.message)).listening == 0
+    assert carrying.unpack(carrying.pack(sent.message)).listened_ms == 0
 
 
 def test_two_witnesses_are_not_enough():
--- a/tests/carrying/test_datagrams.py
+++ b/tests/carrying/test_datagrams.py
@@ -29,7 +29,7 @@
 MESSAGES = strategies.one_of(
     strategies.builds(messages.Ask, FLOW, NUMBER, POSITION),
     strategies.builds(
-        messages.Answer, FLOW, NUMBER, strategies.sampled_from(messages.Holding), LOAD, NUMBER
+        messages.Answer, FLOW, NUMBER, strategies.sampled_from(messages.FlowStatus), LOAD, NUMBER
     ),
     strategies.builds(
         messages.AskMany,
@@ -41,7 +41,7 @@
         messages.AnswerMany,
         POSITION,
         NUMBER,
-        strategies.lists(strategies.sampled_from(messages.Holding), max_size=64).map(tuple),
+        strategies.lists(strategies.sampled_from(messages.FlowStatus), max_size=64).map(tuple),
         LOAD,
         NUMBER,
     ),
@@ -75,14 +75,14 @@
 
 @hypothesis.given(strategies.floats(0, 1))
 def test_a_share_of_good_results_is_kept_within_half_a_percent(good):
-    load = messages.Load(good=good)
-    sent = messages.Answer(bytes(12), 1, messages.Holding.HELD, load)
-    assert carrying.unpack(carrying.pack(sent)).load.good == pytest.approx(good, abs=0.005)
+    load = messages.Load(success_rate=good)
+    sent = messages.Answer(bytes(12), 1, messages.FlowStatus.HELD, load)
+    assert carrying.unpack(carrying.pack(sent)).load.success_rate == pytest.approx(good, abs=0.005)
 
 
 def test_numbers_too_large_for_their_field_are_cut():
     load = messages.Load(running=1 << 20, slots=1 << 20, latency=1 << 20)
-    sent = messages.Answer(bytes(12), 1, messages.Holding.HELD, load)
+    sent = messages.Answer(bytes(12), 1, messages.FlowStatus.HELD, load)
     back = carrying.unpack(carrying.pack(sent)).load
     assert back.running == back.slots == back.latency == carrying.MOST
 
--- a/tests/carrying/test_placing.py
+++ b/tests/carrying/test_placing.py
@@ -24,8 +24,8 @@
 
 def test_the_least_busy_upstream_is_best_and_a_silent_one_last():
     load = messages.Load
-    assert chosen(load(3, 0, 2), load(1, 4, 2), load(silent=True)) == "u1"
-    assert chosen(load(silent=True)) == "u0"
+    assert chosen(load(3, 0, 2), load(1, 4, 2), load(unresponsive=True)) == "u1"
+    assert chosen(load(unresponsive=True)) == "u0"
     assert chosen(load(9, 9, 2), load(accepting=False)) == "u0"
     assert chosen(load(accepting=False)) is None
 
@@ -55,7 +55,7 @@
 def test_an_upstream_that_lets_half_of_its_requests_hang_comes_last_but_is_not_left_out():
     """A grey upstream fails requests while its own check is good; as it does little, it is idle."""
     load = messages.Load
-    grey = load(0, 10, 1, good=0.5)
+    grey = load(0, 10, 1, success_rate=0.5)
     assert chosen(grey, load(1, 10, 1), load(2, 10, 1)) == "u1"
     assert chosen(grey, load(7, 10, 1), load(7, 10, 1)) == "u0"
 
@@ -67,8 +67,8 @@
         (load(1, 0, 2), True),
         (load(2, 0, 2), True),
         (load(3, 0, 2), False),
-        (load(0, 0, 1, good=0.8), False),
-        (load(0, 0, 1, silent=True), False),
+        (load(0, 0, 1, success_rate=0.8), False),
+        (load(0, 0, 1, unresponsive=True), False),
     ):
         others = [(upstream(2), load(5, 0, 1))]
         standing = placing.compare([(upstream(1), answered), *others], "a", 0)[0]
@@ -95,7 +95,7 @@
 
     assert taken(load(2, 0, 1), load(1, 0, 1)) is near
     assert taken(load(3, 0, 1), load(1, 0, 1)) is far
-    assert taken(load(1, 0, 1, silent=True), load(4, 0, 1)) is far
+    assert taken(load(1, 0, 1, unresponsive=True), load(4, 0, 1)) is far
 
 
 def test_the_order_of_asking_is_one_for_all_copies_and_differs_from_flow_to_flow():
--- a/tests/carrying/test_table.py
+++ b/tests/carrying/test_table.py
@@ -28,11 +28,11 @@
 
 def test_an_offer_is_held_by_the_caller_that_acknowledges_it():
     known, held = opened()
-    assert known.holding(FLOW, 0) is messages.Holding.OFFERED
-    assert known.holding(FLOW, 101) is messages.Holding.OFFERED
-    assert known.holding(FLOW, 900_000) is messages.Holding.ABSENT
+    assert known.holding(FLOW, 0) is messages.FlowStatus.OFFERED
+    assert known.holding(FLOW, 101) is messages.FlowStatus.OFFERED
+    assert known.holding(FLOW, 900_000) is messages.FlowStatus.ABSENT
     known.from_caller(held, asked(), 1)
-    assert known.holding(FLOW, 900_000) is messages.Holding.HELD
+    assert known.holding(FLOW, 900_000) is messages.FlowStatus.HELD
 
 
 def test_work_runs_from_the_request_to_its_answer():
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -692,8 +692,8 @@
     Mutation(
         "a full upstream is chosen last",
         CORE + "carrying/placing.py",
-        "return (self.load.silent, self.load.full)",
-        "return (self.load.silent, False)",
+        "return (self.load.unresponsive, self.load.full)",
+        "return (self.load.unresponsive, False)",
     ),
     Mutation(
         "flows of a route stay in its regions",
