--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -34,7 +34,7 @@
         self.outbound = self.loop.listen(
             entries.address_of(settings.from_upstream), self.on_upstream, shell.BUFFER_BYTES
         )
-        self.core.table.results.on_answer = self.report.note_answer
+        self.core.table.request_stats.on_answer = self.report.note_answer
         self.caller_port = entries.address_of(settings.packets)[1]
 
     def add_metrics(self, held: "metrics.Metrics") -> None:
@@ -42,11 +42,11 @@
         table = self.core.table
         self.report.latency(report.ANSWERS)
         held.gauge("flows", "Flows known.", lambda: len(table.flows))
-        held.gauge("running", "Requests that run.", lambda: table.running(self.loop.now))
+        held.gauge("running", "Requests that run.", lambda: table.running_requests(self.loop.now))
         held.gauge(
             "good",
             "Share of requests answered of late.",
-            lambda: table.results.good_at(self.loop.now),
+            lambda: table.request_stats.success_rate(self.loop.now),
         )
 
     def on_view(self) -> None:
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -67,7 +67,7 @@
         self.started_at = now
         self.current = routes.Current()
         self.fleet = fleet.Fleet()
-        self.table = table.Table()
+        self.table = table.FlowTable()
         self.warming = warming.Warming()
         self.absent: dict[packet.Flow, int] = {}
         self.probed: dict[packet.Flow, Probed] = {}
@@ -145,7 +145,7 @@
             return False
         return own.name not in self.first_view or self.fleet.predecessor(own) is not None
 
-    def upstream_lost(self, held: table.Held, now: int) -> bool:
+    def upstream_lost(self, record: table.FlowRecord, now: int) -> bool:
         """Return whether the upstream of an open flow has ended while this sidecar keeps running.
 
         Its entry is gone, and it has sent nothing for `LOST_MS` after a packet of the flow. An
@@ -153,10 +153,10 @@
         """
         if not self.view_fresh or self.listed is None or self.fleet.lives(self.listed):
             return False
-        if not held.given_at or self.heard_at >= held.given_at:
-            held.given_at = now
+        if not record.delivered_at or self.heard_at >= record.delivered_at:
+            record.delivered_at = now
             return False
-        return now - held.given_at >= LOST_MS
+        return now - record.delivered_at >= LOST_MS
 
     def silent(self, now: int) -> bool:
         """Return whether the upstream leaves opening packets unanswered.
@@ -173,11 +173,11 @@
         own = self.own
         slots = own.slots if own else 1
         return messages.Load(
-            running=self.table.running(now),
+            running=self.table.running_requests(now),
             flows=len(self.table.flows),
             slots=slots,
-            latency=round(self.table.results.latency),
-            success_rate=self.table.results.good_at(now),
+            latency=round(self.table.request_stats.latency),
+            success_rate=self.table.request_stats.success_rate(now),
             accepting=not self.refusal(),
             unresponsive=self.silent(now),
             saturated=len(self.table.busy) >= slots,
@@ -204,7 +204,7 @@
 
     def holding(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.FlowStatus:
         """Return whether the upstream holds the flow; UNKNOWN while the table is incomplete."""
-        holding = self.table.holding(flow, acknowledged)
+        holding = self.table.flow_status(flow, acknowledged)
         if (
             holding is messages.FlowStatus.ABSENT
             and self.incomplete(now)
@@ -226,7 +226,7 @@
     def on_tick(self, now: int) -> list[effects.Effect]:
         """Drop expired state, and return the announcements and log entries that are due."""
         self.fleet.expire(now)
-        self.table.sweep(self.current.routes.idle, now)
+        self.table.expire(self.current.routes.idle, now)
         old = now - self.current.routes.idle
         self.absent = {f: at for f, at in self.absent.items() if at > old}
         self.probed = {f: s for f, s in self.probed.items() if s.at > old}
@@ -311,38 +311,38 @@
         self.heard_at = now
         if sent.returned:
             return self.on_returned(sent, now)
-        held = self.table.flows.get(sent.flow)
+        record = self.table.flows.get(sent.flow)
         found: list[effects.Effect] = []
-        if held is None:
+        if record is None:
             probe = self.probed.pop(sent.flow, None)
             source = probe.source if probe else self.address
-            held = self.table.add(sent.flow, source, now)
-            held.held = not sent.accepts
+            record = self.table.add(sent.flow, source, now)
+            record.is_held = not sent.accepts
             if probe is not None:
                 found.append(effects.Send(source, self.answer(sent.flow, 0, now)))
-        self.table.from_upstream(held, sent, now)
+        self.table.on_upstream_packet(record, sent, now)
         return [effects.ToCaller(sent), *found]
 
     def on_returned(self, sent: packet.Packet, now: int) -> list[effects.Effect]:
         """Handle a packet that the upstream did not take."""
-        held = self.table.flows.get(sent.flow)
+        record = self.table.flows.get(sent.flow)
         if sent.opens:
-            if held is None or held.held:
+            if record is None or record.is_held:
                 return []
             self.table.forget(sent.flow)
             back = self.returned(messages.Reason.FULL, sent.raw)
             return [
                 effects.trace("open_returned", flow=packet.flow_text(sent.flow)),
-                effects.Send(held.source, back),
+                effects.Send(record.source, back),
             ]
         probe = self.probed.pop(sent.flow, None)
         self.note_absent(sent.flow, now)
-        if held is not None and held.held and not held.closed:
+        if record is not None and record.is_held and not record.is_closed:
             # The upstream has restarted or dropped the flow. Without a reset the caller would
             # retransmit until its timeout.
             self.table.forget(sent.flow)
             self.warming.note_restart(now)
-            age = now - held.opened_at
+            age = now - record.opened_at
             return [
                 effects.trace("flow_lost", flow=packet.flow_text(sent.flow), opened_ms_ago=age),
                 effects.Reset(sent.flow, sent.acknowledged),
@@ -439,11 +439,11 @@
 
 @act.register
 def _(message: messages.Carry, sidecar, received, source, now):
-    holding = sidecar.table.holding(received.flow, received.acknowledged)
+    holding = sidecar.table.flow_status(received.flow, received.acknowledged)
     if holding is messages.FlowStatus.ABSENT:
         return sidecar.give_unknown(received, source, now, kept=False)
-    held = sidecar.table.flows[received.flow]
-    if held.held and not received.aborts and sidecar.upstream_lost(held, now):
+    record = sidecar.table.flows[received.flow]
+    if record.is_held and not received.aborts and sidecar.upstream_lost(record, now):
         sidecar.table.forget(received.flow)
         return [
             effects.trace(
@@ -451,8 +451,8 @@
             ),
             effects.Reset(received.flow, received.acknowledged),
         ]
-    held.source = source
-    sidecar.table.from_caller(held, received, now)
+    record.source = source
+    sidecar.table.on_caller_packet(record, received, now)
     return [effects.ToUpstream(received.raw)]
 
 
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -13,32 +13,32 @@
 """How long a flow stays in the table after both sides closed it, in ms: retransmitted packets may
 follow, at intervals of up to 1.6 s."""
 
-OFFER_MS = 2_000
+OFFER_TIMEOUT_MS = 2_000
 """How long an accepted flow waits for its caller's first packet, in ms: a caller gives up after
 1.4 s."""
 
-PENDING_MS = 150
+PENDING_REQUEST_MS = 150
 """How long a new flow counts as a running request before its first data arrives, in ms."""
 
-STUCK_MS = 2_000
-STUCK_TIMES = 10
+STUCK_REQUEST_MS = 2_000
+STUCK_LATENCY_RATIO = 10
 """A request counts as failed after 2 s, or ten times the usual latency if that is longer: its
 answer was lost, or a faulty upstream never sends one."""
 
-RECENT = 16
+LATENCY_WINDOW_REQUESTS = 16
 """Window of the moving average of the latency, in requests."""
 
-TOO_QUICK = 8
+MAX_SPEEDUP = 8
 """An answer that is this many times faster than the average counts as an error.
 
 An upstream that answers with an error at once looks idle and fast, and would attract all new flows.
 Where a service answers some requests from a cache, all its upstreams are affected alike.
 """
 
-RECENT_RESULTS = 8
+SUCCESS_RATE_WINDOW_REQUESTS = 8
 """Window of the moving average of the success rate, in requests."""
 
-FORGIVE_MS = 5_000
+FAILURE_HALF_LIFE_MS = 5_000
 """Half-life of the failure rate, in ms, so that an upstream without new flows is tried again."""
 
 POSITIONS = 1 << 32
@@ -48,73 +48,73 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class FlowRecord:
     """One flow; times in ms.
 
-    `source` is the balancer that sent the flow's latest packet. `offered` is the upstream's initial
-    sequence number once it has accepted the flow. `held` is set when the upstream has received
-    packets of the caller beyond the opening one. `given_at` is when an upstream without an entry
-    got the first packet that it has not answered. `asked_end` and `answered_end` are the sequence
-    numbers after the last data of the caller and of the upstream.
+    `source` is the balancer that sent the flow's latest packet. `offered_position` is the initial
+    sequence number of an upstream that has accepted the flow, and `is_held` is set once the flow
+    has further packets. `delivered_at` is when an upstream without an entry got the first packet
+    that it has not answered. `request_end` and `answer_end` are the sequence numbers after the last
+    data of the caller and of the upstream.
     """
 
     source: view.Address
     opened_at: int
     seen_at: int
-    given_at: int = 0
-    offered: int | None = None
-    held: bool = False
-    asked_end: int | None = None
-    answered_end: int | None = None
+    delivered_at: int = 0
+    offered_position: int | None = None
+    is_held: bool = False
+    request_end: int | None = None
+    answer_end: int | None = None
     closed_by_caller: bool = False
     closed_by_upstream: bool = False
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether both sides have closed the flow."""
         return self.closed_by_caller and self.closed_by_upstream
 
 
-class Results:
+class RequestStats:
     """Moving averages of the latency and the failure rate of one upstream's requests.
 
-    `latency` is in ms; `bad` is the failure rate at the time `at` (ms). `on_answer`, if set, is
+    `latency` is in ms; `failure_rate` was updated at `updated_at` (ms). `on_answer`, if set, is
     called with the time and the latency of each answer, both in ms.
     """
 
     def __init__(self) -> None:
         self.latency = 0.0
-        self.bad = 0.0
-        self.at = 0
+        self.failure_rate = 0.0
+        self.updated_at = 0
         self.on_answer: typing.Callable[[int, int], None] | None = None
 
-    def answered(self, since: int, now: int) -> None:
+    def record_answer(self, since: int, now: int) -> None:
         """Record the answer to a request sent at `since`; one that is far too fast is a failure."""
         took = now - since
         if self.on_answer is not None:
             self.on_answer(now, took)
-        if took < self.latency / TOO_QUICK:
-            self.note(1.0, now)
+        if took < self.latency / MAX_SPEEDUP:
+            self.record_result(1.0, now)
             return
-        self.latency += (took - self.latency) / RECENT if self.latency else took
-        self.note(0.0, now)
+        self.latency += (took - self.latency) / LATENCY_WINDOW_REQUESTS if self.latency else took
+        self.record_result(0.0, now)
 
-    def failed(self, now: int) -> None:
+    def record_failure(self, now: int) -> None:
         """Record a request that got no answer."""
-        self.note(1.0, now)
+        self.record_result(1.0, now)
 
-    def note(self, bad: float, now: int) -> None:
+    def record_result(self, failure: float, now: int) -> None:
         """Add one result to the failure rate: 1.0 for a failure, 0.0 for an answer."""
-        before = 1 - self.good_at(now)
-        self.bad = before + (bad - before) / RECENT_RESULTS
-        self.at = now
+        before = 1 - self.success_rate(now)
+        self.failure_rate = before + (failure - before) / SUCCESS_RATE_WINDOW_REQUESTS
+        self.updated_at = now
 
-    def good_at(self, now: int) -> float:
+    def success_rate(self, now: int) -> float:
         """Return the success rate, with earlier failures decayed."""
-        return 1 - self.bad * 0.5 ** ((now - self.at) / FORGIVE_MS)
+        return 1 - self.failure_rate * 0.5 ** ((now - self.updated_at) / FAILURE_HALF_LIFE_MS)
 
 
-class Table:
+class FlowTable:
     """The flows of one upstream and its requests in progress.
 
     `busy` holds when the running request of a flow arrived, `pending` when a flow without a request
@@ -122,25 +122,25 @@
     """
 
     def __init__(self) -> None:
-        self.results = Results()
-        self.flows: dict[packet.Flow, Held] = {}
+        self.request_stats = RequestStats()
+        self.flows: dict[packet.Flow, FlowRecord] = {}
         self.busy: dict[packet.Flow, int] = {}
         self.pending: dict[packet.Flow, int] = {}
 
-    def open(self, flow: packet.Flow, source: view.Address, now: int) -> Held:
+    def open(self, flow: packet.Flow, source: view.Address, now: int) -> FlowRecord:
         """Record an opening packet that is sent to the upstream, and return its flow's state."""
-        held = self.flows.get(flow)
-        if held is None:
-            held = self.add(flow, source, now)
+        record = self.flows.get(flow)
+        if record is None:
+            record = self.add(flow, source, now)
             self.pending[flow] = now
-        return held
+        return record
 
-    def add(self, flow: packet.Flow, source: view.Address, now: int) -> Held:
+    def add(self, flow: packet.Flow, source: view.Address, now: int) -> FlowRecord:
         """Add a flow; drop the oldest one if the table is full."""
         if len(self.flows) >= MAX_FLOWS:
             self.forget(next(iter(self.flows)))
-        held = self.flows[flow] = Held(source, now, now)
-        return held
+        record = self.flows[flow] = FlowRecord(source, now, now)
+        return record
 
     def forget(self, flow: packet.Flow) -> None:
         """Remove a flow and its request, if any."""
@@ -148,107 +148,110 @@
         self.busy.pop(flow, None)
         self.pending.pop(flow, None)
 
-    def from_caller(self, held: Held, received: packet.Packet, now: int) -> None:
+    def on_caller_packet(self, record: FlowRecord, received: packet.Packet, now: int) -> None:
         """Record a packet that is sent to the upstream: new data starts a request."""
-        held.seen_at = now
-        held.held = True
+        record.seen_at = now
+        record.is_held = True
         if received.closes:
-            held.closed_by_caller = True
+            record.closed_by_caller = True
         if received.aborts:
-            held.closed_by_caller = held.closed_by_upstream = True
+            record.closed_by_caller = record.closed_by_upstream = True
             if self.busy.pop(received.flow, None) is not None:
-                self.results.failed(now)
+                self.request_stats.record_failure(now)
         if not received.length:
             return
         end = (received.sequence + received.length) % POSITIONS
-        if held.asked_end is None or 0 < (end - held.asked_end) % POSITIONS < POSITIONS // 2:
-            held.asked_end = end
+        if (
+            record.request_end is None
+            or 0 < (end - record.request_end) % POSITIONS < POSITIONS // 2
+        ):
+            record.request_end = end
             self.busy.pop(received.flow, None)
             self.busy[received.flow] = now
             self.pending.pop(received.flow, None)
 
-    def from_upstream(self, held: Held, sent: packet.Packet, now: int) -> None:
+    def on_upstream_packet(self, record: FlowRecord, sent: packet.Packet, now: int) -> None:
         """Record a packet of the upstream: data completes the flow's request."""
-        held.seen_at = now
+        record.seen_at = now
         if sent.accepts:
-            held.offered = sent.sequence
-            held.answered_end = (sent.sequence + 1) % POSITIONS
+            record.offered_position = sent.sequence
+            record.answer_end = (sent.sequence + 1) % POSITIONS
             return
         since = self.busy.get(sent.flow)
         if since is not None and sent.length:
             del self.busy[sent.flow]
-            self.results.answered(since, now)
-        elif since is not None and (sent.aborts or ends_unanswered(held, sent)):
+            self.request_stats.record_answer(since, now)
+        elif since is not None and (sent.aborts or closes_unanswered(record, sent)):
             del self.busy[sent.flow]
-            self.results.failed(now)
+            self.request_stats.record_failure(now)
         if sent.length:
-            held.answered_end = (sent.sequence + sent.length) % POSITIONS
+            record.answer_end = (sent.sequence + sent.length) % POSITIONS
         if sent.closes:
-            held.closed_by_upstream = True
+            record.closed_by_upstream = True
         if sent.aborts:
-            held.closed_by_caller = held.closed_by_upstream = True
-        if held.closed:
+            record.closed_by_caller = record.closed_by_upstream = True
+        if record.is_closed:
             self.pending.pop(sent.flow, None)
 
-    def holding(self, flow: packet.Flow, acknowledged: int) -> messages.FlowStatus:
+    def flow_status(self, flow: packet.Flow, acknowledged: int) -> messages.FlowStatus:
         """Return whether the upstream holds the flow, as far as the table shows."""
-        held = self.flows.get(flow)
-        if held is None:
+        record = self.flows.get(flow)
+        if record is None:
             return messages.FlowStatus.ABSENT
-        if held.held:
+        if record.is_held:
             return messages.FlowStatus.HELD
-        if held.offered is None:
+        if record.offered_position is None:
             return messages.FlowStatus.ABSENT
-        if acknowledged and not continues(held.offered, acknowledged):
+        if acknowledged and not continues_offer(record.offered_position, acknowledged):
             return messages.FlowStatus.ABSENT
         return messages.FlowStatus.OFFERED
 
-    def running(self, now: int) -> int:
+    def running_requests(self, now: int) -> int:
         """Return the number of running requests and of flows about to send one; fail stuck ones."""
-        stuck = max(STUCK_MS, STUCK_TIMES * self.results.latency)
-        for _ in drop_older(self.busy, now - stuck):
-            self.results.failed(now)
-        drop_older(self.pending, now - PENDING_MS)
+        stuck = max(STUCK_REQUEST_MS, STUCK_LATENCY_RATIO * self.request_stats.latency)
+        for _ in remove_older(self.busy, now - stuck):
+            self.request_stats.record_failure(now)
+        remove_older(self.pending, now - PENDING_REQUEST_MS)
         return len(self.busy) + len(self.pending)
 
-    def sweep(self, idle: int, now: int) -> int:
+    def expire(self, idle: int, now: int) -> int:
         """Remove flows that ended or were idle for `idle` ms; return how many."""
-        over = [flow for flow, held in self.flows.items() if now >= end_of_memory(held, idle)]
+        over = [flow for flow, record in self.flows.items() if now >= expiry_time(record, idle)]
         for flow in over:
             self.forget(flow)
         return len(over)
 
 
-def ends_unanswered(held: Held, sent: packet.Packet) -> bool:
+def closes_unanswered(record: FlowRecord, sent: packet.Packet) -> bool:
     """Return whether the upstream closes the flow without having sent an answer.
 
     Packets may be reordered: a close that overtakes the answer has a higher sequence number.
     """
-    return sent.closes and sent.sequence == held.answered_end
+    return sent.closes and sent.sequence == record.answer_end
 
 
-def drop_older(times: dict[packet.Flow, int], oldest: float) -> list[packet.Flow]:
+def remove_older(times: dict[packet.Flow, int], oldest: float) -> list[packet.Flow]:
     """Remove the flows with times before `oldest` (ms) and return them; `times` is in order."""
-    dropped = []
+    removed = []
     while times:
         flow, since = next(iter(times.items()))
         if since >= oldest:
             break
         del times[flow]
-        dropped.append(flow)
-    return dropped
+        removed.append(flow)
+    return removed
 
 
-def end_of_memory(held: Held, idle: int) -> int:
+def expiry_time(record: FlowRecord, idle: int) -> int:
     """Return when the flow may be removed from the table, in ms."""
-    if held.closed:
-        return held.seen_at + LINGER_MS
-    if not held.held:
-        return held.seen_at + OFFER_MS
-    return held.seen_at + idle
+    if record.is_closed:
+        return record.seen_at + LINGER_MS
+    if not record.is_held:
+        return record.seen_at + OFFER_TIMEOUT_MS
+    return record.seen_at + idle
 
 
-def continues(offered: int, acknowledged: int) -> bool:
+def continues_offer(offered: int, acknowledged: int) -> bool:
     """Return whether a caller's acknowledgement fits the initial sequence number that was offered.
 
     Two upstreams may accept copies of one opening packet; the caller continues with one of them.
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -426,7 +426,7 @@
     Mutation(
         "an upstream that only the store can't hear keeps its flows",
         CORE + "carrying/sidecar.py",
-        "if not held.given_at or self.heard_at >= held.given_at:",
+        "if not record.delivered_at or self.heard_at >= record.delivered_at:",
         "if False:",
     ),
     Mutation(
@@ -534,14 +534,15 @@
     Mutation(
         "offer told by the caller's position",
         CORE + "carrying/table.py",
-        "if acknowledged and not continues(held.offered, acknowledged):",
+        "if acknowledged and not continues_offer(record.offered_position, acknowledged):",
         "if False:",
     ),
     Mutation(
         "packets sent again are no new work",
         CORE + "carrying/table.py",
-        "if held.asked_end is None or 0 < (end - held.asked_end) % POSITIONS < POSITIONS // 2:",
-        "if True:",
+        "        if (\n            record.request_end is None\n            or 0 < (end - "
+        "record.request_end) % POSITIONS < POSITIONS // 2\n        ):\n",
+        "        if True:\n",
     ),
     Mutation(
         "watch from the first page on",
