--- a/src/ebonystile/core/budget.py
+++ b/src/ebonystile/core/budget.py
@@ -1,13 +1,13 @@
-"""Limit a rate with one stored time: the generic cell rate algorithm (ITU-T I.371)."""
+"""Rate limiter by the generic cell rate algorithm (ITU-T I.371)."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class Budget:
-    """A token bucket of `burst` units that refills at `rate` units a second.
+    """A token bucket of `burst` units that refills at `rate` units per second.
 
-    `full_at` is when the bucket will be full again; it is the only state.
+    Its only state is `full_at`, the time in ms at which the bucket is full again.
     """
 
     rate: int
@@ -15,7 +15,10 @@
     full_at: int = 0
 
     def take(self, units: int, now: int) -> bool:
-        """Take the units if the bucket holds them; a full bucket gives any amount once."""
+        """Take the units if the bucket holds them, and return whether it did.
+
+        A full bucket grants any number of units.
+        """
         start = max(self.full_at, now)
         spent = (start - now) * self.rate // 1000
         if spent and spent + units > self.burst:
@@ -24,6 +27,6 @@
         return True
 
     def ready_at(self, units: int, now: int) -> int:
-        """Return when `units` could be taken."""
+        """Return the earliest time in ms at which `units` can be taken."""
         room = max(0, self.burst - units)
         return max(now, self.full_at - room * 1000 // self.rate)
--- a/src/ebonystile/core/carrying/asking.py
+++ b/src/ebonystile/core/carrying/asking.py
@@ -1,18 +1,17 @@
-"""Ask everybody about open flows, many flows in one message, within a budget of messages."""
+"""Query all sidecars about open flows, many flows per message, within the fan-out budget."""
 
 from ebonystile.core import view
 from ebonystile.core.carrying import effects, messages, packet, search, state
 
 FINDING_SINGLY = 16
-"""Searches for open flows under way from which on further ones ask everybody, and probe, for many
-flows in one message."""
+"""Number of running searches for open flows from which further ones are batched."""
 
 PATIENCE_MS = 1_000
-"""Longest time of a search that waits for its share of messages, in ms."""
+"""Time limit of a search that waits for the fan-out budget, in ms from its start."""
 
 
 def ask_everybody(known: state.State, found: search.Search, now: int) -> list[effects.Effect]:
-    """Let the search ask everybody together with others, unless it has waited too long."""
+    """Add the search to the batch of queries, or end it if it has waited too long."""
     if now >= found.started_at + PATIENCE_MS:
         return give_up(known, found)
     if found.flow not in known.batch.waiting:
@@ -22,14 +21,14 @@
 
 
 def give_up(known: state.State, found: search.Search) -> list[effects.Effect]:
-    """End a search that had no share of messages in its time; its caller sends again."""
+    """End a search that waited too long for the budget; its caller retransmits."""
     known.batch.waiting.pop(found.flow, None)
     known.probes.waiting.pop(found.flow, None)
     return known.end(found)
 
 
 def ask_batch(known: state.State, now: int) -> list[effects.Effect]:
-    """Ask everybody about the searches that wait for that, in one message each."""
+    """Send the next batch of queries, in one message to each sidecar."""
     wanted = min(len(known.fleet.by_address), search.LATER_WAVE)
     if not known.fanout.take(wanted, now):
         known.batch.due = max(now + 1, known.fanout.ready_at(wanted, now))
@@ -57,7 +56,7 @@
 def wait_for_room(
     known: state.State, found: search.Search, messages_wanted: int, now: int
 ) -> list[effects.Effect]:
-    """Go on once the messages may be sent, unless the search has taken too long by then."""
+    """Schedule the search for when the budget allows the messages, or end it if too late."""
     due = max(now + 1, known.fanout.ready_at(messages_wanted, now))
     if due > found.started_at + PATIENCE_MS:
         return known.end(found)
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -1,7 +1,7 @@
-"""Take in what callers and sidecars send to a balancer of carried flows, and say what to do.
+"""Handle the packets and messages that a balancer of carried flows receives.
 
-A packet of a flow whose home is known goes there; any other one starts a search, which `opening` or
-`finding` takes to its end.
+A packet of a flow whose home is known is forwarded to it. Any other packet starts a search, which
+`opening` or `finding` decides.
 """
 
 import functools
@@ -23,31 +23,31 @@
 )
 
 MAX_HOMES = 100_000
-"""Flows remembered at once, about 300 bytes each."""
+"""Homes of flows, about 300 bytes each, beyond which idle ones expire four times as early."""
 
 MAX_SEARCHES = 1_000
-"""Searches under way at once; a packet beyond that is dropped and comes again in 200 ms."""
+"""Limit of concurrent searches; further packets are dropped, and callers retransmit them."""
 
 MAX_FINDING = 128
-"""Searches for open flows under way at once, so that after an outage, when all open flows are
-looked for at the same time, new flows still get their answers within a wave."""
+"""Limit of concurrent searches for open flows. After an outage all open flows are searched for at
+the same time; the limit leaves capacity for new flows."""
 
 PROBE_MS = 200
-"""How often an unreachable balancer tries another sidecar, in ms."""
+"""How long an unreachable balancer queries one sidecar before it tries the next, in ms."""
 
 SWEEP_MS = 1_000
-"""How often flows that are over are forgotten, in ms: a visit to all of them at each tick would be
-the largest work of an idle balancer."""
+"""Interval at which idle flows expire, in ms: the sweep visits all flows, which is too much for
+every tick."""
 
 NO_FLOW = bytes(12)
-"""A flow that does not exist, for a question that is only to be answered."""
+"""A flow that does not exist, for queries that only test whether a sidecar answers."""
 
 
 class Balancer(state.State):
-    """One balancer; methods return what is to be done, in order."""
+    """The core of one balancer; its methods return the effects to carry out, in order."""
 
     def on_caller(self, received: packet.Packet, now: int) -> list[effects.Effect]:
-        """Send a caller's packet on, or begin to search for where it belongs."""
+        """Forward a caller's packet to the home of its flow, or begin a search for it."""
         found = self.searches.get(received.flow)
         if found is not None:
             found.hold(received)
@@ -63,7 +63,7 @@
         return [effects.Send(home.upstream.address, messages.Carry(received.raw))]
 
     def without_route(self, received: packet.Packet) -> list[effects.Effect]:
-        """Refuse a flow that no route allows, at once if the configuration is surely in force."""
+        """Reset a flow without a route, or drop the packet while the configuration may be stale."""
         self.homes.pop(received.flow, None)
         if received.aborts or not self.view_fresh or not self.current.routes.version:
             return []
@@ -80,7 +80,7 @@
     def begin(
         self, received: packet.Packet, home: state.Home | None, now: int
     ) -> list[effects.Effect]:
-        """Begin to search for the upstream of a flow."""
+        """Begin a search for the upstream of a flow."""
         route = self.current.routes.find(received.flow)
         if route is None:
             return self.without_route(received)
@@ -99,7 +99,7 @@
         if not begun.goes_on and (received.opens or self.view_confirmed(now)):
             return self.nobody(received)
         if not begun.goes_on:
-            # Right after its return the store's list may be empty while all upstreams live.
+            # After an outage of the store its list can be empty while all upstreams are running.
             self.missing_since.setdefault(received.flow, now)
             self.keep_pending(received)
             return []
@@ -108,7 +108,7 @@
         return self.ask_next(begun, now) if begun.waves else asking.ask_everybody(self, begun, now)
 
     def begin_queued(self, now: int) -> list[effects.Effect]:
-        """Begin the searches that there is room for, those that wait longest first."""
+        """Begin searches for queued flows up to the limit, the oldest first."""
         todo: list[effects.Effect] = []
         while self.queued and self.finding < MAX_FINDING:
             flow = next(iter(self.queued))
@@ -118,9 +118,9 @@
         return todo
 
     def begin_pending(self, now: int) -> list[effects.Effect]:
-        """Look once more for the flows that were not found before the view was confirmed.
+        """Search again for the flows that were not found before the view was confirmed.
 
-        Left to the callers' next copies, many would learn too late to be served in their time.
+        Waiting for the callers' next copies would take many of them past their timeouts.
         """
         todo: list[effects.Effect] = []
         while self.pending and self.finding < MAX_FINDING and self.view_confirmed(now):
@@ -131,7 +131,7 @@
         return todo
 
     def nobody(self, received: packet.Packet) -> list[effects.Effect]:
-        """Refuse a flow for which there is no upstream, at once if that is sure."""
+        """Reset a flow without any upstream, or drop the packet while the view may be stale."""
         if not self.view_fresh or received.aborts:
             return []
         return [
@@ -146,7 +146,7 @@
         source: view.Address,
         now: int,
     ) -> list[effects.Effect]:
-        """Act on a sidecar's message; `received` is the packet in it."""
+        """Handle a sidecar's message; `received` is the packet in it, if any."""
         self.unheard_since = None
         self.silence.pop(source, None)
         self.silent_since.pop(source, None)
@@ -158,7 +158,7 @@
         return todo
 
     def on_due(self, now: int) -> list[effects.Effect]:
-        """Go on with the searches that are due."""
+        """Advance all searches and send all batches that are due."""
         todo = self.ask_unlisted(now)
         if self.pending:
             todo.extend(self.begin_pending(now))
@@ -177,13 +177,13 @@
         return [*todo, *self.begin_queued(now)]
 
     def ask_unlisted(self, now: int) -> list[effects.Effect]:
-        """Ask which sidecars have no entry, if that is due."""
+        """Return the queries for sidecars without an entry, if they are due."""
         if self.confirmation.ask_at is None or self.confirmation.ask_at > now:
             return []
         return self.confirmation.ask(announcing.witnesses_of(self.fleet), now)
 
     def on_tick(self, now: int) -> list[effects.Effect]:
-        """Forget what is over, and ask somebody while nobody answers, to notice the end of that."""
+        """Drop expired state; while unreachable, query one sidecar to notice the end of that."""
         self.fleet.expire(now)
         self.silence = {a: until for a, until in self.silence.items() if until > now}
         self.silent_since = {a: at for a, at in self.silent_since.items() if a in self.silence}
@@ -196,7 +196,7 @@
         return [effects.Send(known[now // PROBE_MS % len(known)], question)]
 
     def sweep(self, now: int) -> None:
-        """Forget the flows that are over."""
+        """Drop the flows that have been idle for too long."""
         self.sweep_at = now + SWEEP_MS
         idle = self.current.routes.idle
         if len(self.homes) > MAX_HOMES:
@@ -205,7 +205,7 @@
         self.missing_since = {f: at for f, at in self.missing_since.items() if now - at < idle}
 
     def go_on(self, found: search.Search, now: int) -> list[effects.Effect]:
-        """Decide by the answers so far, ask further upstreams, or give up."""
+        """Decide by the answers so far, ask further sidecars, or end the search."""
         decide = opening.decide if found.opening else finding.decide
         decided = decide(self, found, now)
         if decided is not None:
@@ -224,13 +224,17 @@
         return self.end_of_search(found, now)
 
     def note_silent(self, found: search.Search, now: int) -> None:
-        """Leave out, for a while, sidecars that did not answer in time."""
+        """Record the sidecars that did not answer in time as silent for `SILENCE_MS`."""
         for upstream in found.unanswered():
             self.silence[upstream.address] = now + search.SILENCE_MS
             self.silent_since.setdefault(upstream.address, now)
 
     def end_of_search(self, found: search.Search, now: int) -> list[effects.Effect]:
-        """Give up: a reset if the flow is surely over, else silence; the caller sends again."""
+        """End a failed search: reset the flow if it has certainly ended, else drop its packets.
+
+        A search for an open flow is repeated if the result is uncertain although all sidecars
+        with an entry answered.
+        """
         self.end(found)
         last = found.packets[-1]
         missing = self.missing(found)
@@ -262,7 +266,7 @@
     source: view.Address,
     now: int,
 ) -> list[effects.Effect]:
-    """Act on one message of a sidecar; one that is none of a balancer's changes nothing."""
+    """Handle one message of a sidecar; a kind that balancers don't accept is only logged."""
     return [effects.trace("message_refused", message=type(message).__name__)]
 
 
--- a/src/ebonystile/core/carrying/batches.py
+++ b/src/ebonystile/core/carrying/batches.py
@@ -1,7 +1,7 @@
-"""Gather searches that must ask or probe many sidecars, so that they share messages.
+"""Batch the queries and probes of searches that address many sidecars.
 
-After an outage all open flows are looked for at the same time. One by one that is a message for
-each flow and sidecar, many times what a balancer can send and sidecars can answer.
+After an outage all open flows are searched for at the same time. One message per flow and sidecar
+would be many times what a balancer can send and sidecars can answer.
 """
 
 import dataclasses
@@ -12,21 +12,21 @@
 from ebonystile.core.carrying import fleet, packet, search
 
 GATHER_MS = 20
-"""How long searches that must ask everybody wait for others of the kind, in ms."""
+"""How long a search waits for others to join its batch, in ms."""
 
 MOST_TOGETHER = 64
-"""Flows asked about in one datagram, 16 bytes each."""
+"""Limit of flows in one batch; a query takes 16 bytes per flow in one datagram."""
 
 REMEMBER_MS = 1_000
-"""How long the flows of a batch are remembered for its answers, in ms."""
+"""How long the flows of a batch are kept to match its answers, in ms."""
 
 
 @dataclasses.dataclass(slots=True)
 class AskBatch:
-    """The searches that wait to ask everybody, and those that did, by the number of the asking.
+    """The searches that wait to query all sidecars.
 
-    After an outage nobody holds the flows that all callers send packets of, and everybody must say
-    so. One by one that is a message for each flow and sidecar; together it is one for each sidecar.
+    `due` is the time of the next batch in ms, or None. `asked` holds the time and the flows of each
+    query sent, by the number that its answer repeats.
     """
 
     waiting: dict[packet.Flow, search.Search] = dataclasses.field(default_factory=dict)
@@ -35,40 +35,40 @@
     asked: dict[int, tuple[int, tuple[packet.Flow, ...]]] = dataclasses.field(default_factory=dict)
 
     def add(self, found: search.Search, now: int) -> None:
-        """Let a search wait for the next asking."""
+        """Add a search to the next batch."""
         self.waiting[found.flow] = found
         if self.due is None:
             self.due = now + GATHER_MS
 
     def take(self, searches: dict[packet.Flow, search.Search], now: int) -> list[search.Search]:
-        """Return the searches to ask about now, those that still go on."""
+        """Remove the next batch and return its searches that are still running."""
         flows = list(self.waiting)[:MOST_TOGETHER]
         taken = [self.waiting.pop(flow) for flow in flows]
         self.due = now + GATHER_MS if self.waiting else None
         return [found for found in taken if searches.get(found.flow) is found]
 
     def remember(self, flows: tuple[packet.Flow, ...], now: int) -> int:
-        """Return a number for an asking about these flows."""
+        """Record a query about these flows and return its number."""
         self.asked = {n: kept for n, kept in self.asked.items() if now - kept[0] < REMEMBER_MS}
         self.number = (self.number + 1) % (1 << 32)
         self.asked[self.number] = (now, flows)
         return self.number
 
     def flows_of(self, number: int) -> tuple[packet.Flow, ...]:
-        """Return the flows of an asking, none if it is forgotten."""
+        """Return the flows of a query, or none if it has expired."""
         return self.asked[number][1] if number in self.asked else ()
 
 
 MOST_PROBE_BYTES = 1_200
-"""Bytes of packets in one datagram of probes; a longer packet goes alone."""
+"""Limit of packet bytes in one datagram of probes; a longer packet gets its own datagram."""
 
 
 @dataclasses.dataclass(slots=True)
 class ProbeBatch:
-    """The searches that wait to probe many upstreams, and whom each.
+    """The searches that wait to probe many upstreams, with the upstreams of each.
 
-    After an outage the same dozens of upstreams are probed for hundreds of flows. Each in a message
-    of its own they wait for the budget of such messages longer than their callers have time.
+    After an outage the same upstreams are probed for hundreds of flows. With one message per probe
+    most searches would wait for the fan-out budget beyond their callers' timeouts.
     """
 
     waiting: dict[packet.Flow, tuple[search.Search, list[fleet.Upstream]]] = dataclasses.field(
@@ -77,16 +77,16 @@
     due: int | None = None
 
     def add(self, found: search.Search, upstreams: list[fleet.Upstream], now: int) -> None:
-        """Let a search wait for the next probes."""
+        """Add a search to the next batch."""
         self.waiting[found.flow] = (found, upstreams)
         if self.due is None:
             self.due = now + GATHER_MS
 
     def next_flows(self) -> tuple[list[packet.Flow], int]:
-        """Return the flows to probe for next, and how many messages that takes.
+        """Return the flows of the next batch and the number of messages it takes.
 
-        Packets of uploads fill a message each, so a batch ends at the messages that the budget
-        gives at once, not at a number of flows only.
+        A batch is limited by its messages as well as by its flows: packets of uploads fill a
+        message each, and the batch must fit the burst of the fan-out budget.
         """
         flows: list[packet.Flow] = []
         addresses: set[view.Address] = set()
@@ -105,14 +105,14 @@
     def take(
         self, flows: list[packet.Flow], searches: dict[packet.Flow, search.Search], now: int
     ) -> list[tuple[search.Search, list[fleet.Upstream]]]:
-        """Return the searches of these flows that still go on, with whom to probe."""
+        """Remove these flows; return the searches still running, with the upstreams to probe."""
         taken = [self.waiting.pop(flow) for flow in flows]
         self.due = now + GATHER_MS if self.waiting else None
         return [(found, to) for found, to in taken if searches.get(found.flow) is found]
 
 
 def datagrams(raws: typing.Iterable[bytes]) -> list[tuple[bytes, ...]]:
-    """Return packets in groups that fit into a datagram each."""
+    """Return the packets in groups, each of which fits into one datagram."""
     groups: list[list[bytes]] = []
     room = 0
     for raw in raws:
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -1,7 +1,7 @@
-"""Find out where an open flow lives that this balancer does not know: who is asked, and when.
+"""Find the upstream that holds an open flow unknown to this balancer.
 
-After an outage every open flow is looked for at once, so whatever goes beyond a few sidecars for
-each flow is done for many flows together and within a budget of messages.
+After an outage all open flows are searched for at the same time. Queries beyond the first wave are
+therefore batched over many flows and rate limited.
 """
 
 import functools
@@ -19,33 +19,33 @@
 )
 
 QUEUE_MS, MAX_QUEUED = 400, 1_000
-"""How long, in ms, and how many packets of open flows wait for a search to begin; callers send
-again 200, 600 and 1,400 ms after the first time."""
+"""Time limit and length of the queue of open flows that wait for a search to begin; callers
+retransmit 200, 600 and 1,400 ms after the first copy."""
 
 CHECK_MS = 1_000
-"""How often to ask whether a flow lives on at an upstream whose entry is gone, in ms: the store
-drops the entry of an upstream that it can't hear, which may serve its flows all the same."""
+"""How long an answer confirms the home of a flow whose upstream has no entry, in ms. An upstream
+cut off from the store loses its entry and still serves its flows."""
 
 CONFIRM_MS = 60
-"""Time between two searches in a row for a flow, in ms.
+"""Time between two consecutive searches for a flow, in ms.
 
-An upstream may have been started a moment ago and be unknown here while it holds the flow. Whoever
-placed a flow there learned of it from a sidecar that reads the store, and that is asked as well: as
-long as it has read further than this process, nobody is told.
+The flow may be held by an upstream that started a moment ago and is not in this balancer's view.
+The flow is not reset while a sidecar answers with a newer revision of the store than this
+balancer's.
 """
 
 GONE_AFTER_MS = 200
-"""Silence after which a sidecar without an entry is not asked any more, in ms, until it is heard or
-has had a rest: two questions, as one that only stands still answers the second."""
+"""Time without an answer after which a sidecar without an entry is not asked, in ms. It allows for
+two queries: a sidecar that only stalled answers the second."""
 
 MOST_LOOKS = 4
-"""Searches for a flow in a row while nobody listed is silent. By the next one this process has read
-the store as far as others, and silent sidecars without an entry are left out; left to its caller's
-next copy, the flow would wait for up to 1.6 s more."""
+"""Limit of consecutive searches for a flow while every sidecar with an entry answers. By the last
+of them this balancer has caught up with the store and skips silent sidecars without an entry.
+Waiting for the caller's next copy instead takes up to 1.6 s more."""
 
 
 def search_for(known: state.State, received: packet.Packet, now: int) -> search.Search:
-    """Return the search for the home of an open flow: in its services, then everywhere."""
+    """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
     names = known.current.services_of(flow)
     likely = [u for name in names for u in placing.order(flow, known.fleet.of(name), known.zone)]
@@ -63,9 +63,9 @@
 def without_entry(known: state.State, now: int) -> list[fleet.Upstream]:
     """Return the upstreams without an entry whose sidecars may answer.
 
-    One that the store can't hear serves its flows all the same, and a balancer that has not had
-    such a flow before would tell its caller that it is over. Most are gone, though, and don't
-    answer: those are left out for a while, or each caller of a lost flow would wait for them.
+    An upstream cut off from the store still serves its flows, which must not be reset. Most of the
+    others have ended; those that have not answered for `GONE_AFTER_MS` are skipped, so that callers
+    of lost flows don't wait for them.
     """
     since = known.silent_since
     alive = known.fleet.perhaps_alive()
@@ -73,13 +73,13 @@
 
 
 def queue(known: state.State, received: packet.Packet, now: int) -> None:
-    """Let a packet of an open flow wait until fewer flows are looked for."""
+    """Queue a packet of an open flow until a search for it may begin."""
     if len(known.queued) < MAX_QUEUED:
         known.queued.setdefault(received.flow, (received, now + QUEUE_MS))
 
 
 def decide(known: state.State, found: search.Search, now: int) -> list[effects.Effect] | None:
-    """Return what to do with an open flow's packets once its home is known, else None."""
+    """Return the effects by which the answers end or advance the search, or None to wait."""
     kept = found.keeper()
     if kept is not None:
         known.end(found)
@@ -106,12 +106,11 @@
 
 
 def confirmed(known: state.State, found: search.Search, now: int) -> bool:
-    """Tell whether a flow that was not found is over.
+    """Return whether a flow that was not found has ended.
 
-    One search is enough if everybody has answered, or the upstream of its former home is gone. If
-    somebody was silent, two in a row must not have found the flow. An upstream that was probed in
-    both and has neither returned nor answered a packet does not serve the flow: one that lives
-    acknowledges the second one at once.
+    One search is enough if every sidecar has answered, or if the upstream of the former home has no
+    entry. Otherwise a second search `CONFIRM_MS` later must also fail: an upstream that holds
+    the flow and left the first probe unanswered acknowledges the second.
     """
     if found.previous is not None and not known.fleet.lives(found.previous.upstream):
         return True
@@ -126,7 +125,7 @@
 def look_again(
     known: state.State, packets: list[packet.Packet], now: int, due: int, looks: int = 2
 ) -> list[effects.Effect]:
-    """Search once more, the time number `looks`, at the time `due` in ms."""
+    """Schedule a search of all sidecars at the time `due` in ms; `looks` is its number."""
     again = search_for(known, packets[0], now)
     again.packets = packets
     again.waves = []
--- a/src/ebonystile/core/carrying/fleet.py
+++ b/src/ebonystile/core/carrying/fleet.py
@@ -1,7 +1,7 @@
-"""Keep the upstreams that may be used, from entries that each upstream publishes of itself.
+"""Keep the upstreams that may be used, from the entries that upstreams publish in the store.
 
-The published list lags and has gaps: an upstream that crashed stays listed for some seconds, and
-one that lives loses its entry if the store is away for longer than the entry's lease.
+The list can be wrong both ways: an upstream that crashed stays listed until its lease expires, and
+a running one loses its entry if the store is unavailable for longer than the lease.
 """
 
 import dataclasses
@@ -10,28 +10,28 @@
 from ebonystile.core import view
 
 RETURN_MS = 2_300
-"""How long entries lost during an outage of the store are kept after its return, in ms.
+"""How long entries lost in an outage of the store are kept after its return, in ms.
 
-An upstream that lives has published itself again within about 2 s of the return; without the
-pause every caller would be cut off from upstreams that serve.
+A running upstream publishes its entry again within about 2 s of the return. Dropping the entries
+earlier would cut callers off from upstreams that work.
 """
 
 DEPARTED_MS, MAX_DEPARTED = 60_000, 256
-"""How long, in ms, and how many upstreams are remembered after their entries went.
+"""How long, and how many, upstreams are remembered after the loss of their entries.
 
-One that only the store can't hear still serves its flows; whoever is about to tell a caller that
-its flow is nowhere asks there too. A minute is several times what a flow may be idle.
+An upstream cut off from the store still serves its flows, so it is asked before an open flow is
+reset. A minute is several times the idle timeout of flows.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """One start of one upstream; `address` is where its sidecar hears other processes.
+    """One incarnation of an upstream, from its start to its end.
 
-    `born` (ms since the epoch) tells one start from the next under the same `name`. `warm_at` is
-    when it is through with its slow first seconds, by this process's clock in ms. `listed_at` is
-    the store's revision at which its entry came to be; it tells the younger of two starts where
-    neither says when it was.
+    `address` is that of its sidecar. `born`, the time of its start in ms since the epoch,
+    distinguishes incarnations of the same `name`. `warm_at` is the end of its slow start in ms of
+    this process's clock. `listed_at` is the store's revision that created the entry; it orders
+    incarnations whose entries give no time of start.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
     @property
     def boot(self) -> tuple[str, int]:
-        """Return what tells this start of the upstream from all others."""
+        """Return the identity of this incarnation of the upstream."""
         return (self.name, self.born)
 
 
@@ -63,10 +63,9 @@
     warm_at: int = 0,
     listed_at: int = 0,
 ) -> Upstream:
-    """Return an upstream with the key by which it is ranked.
+    """Return an upstream with its ranking key.
 
-    The key is that of its address: where the sidecar stays and the upstream starts anew, the
-    ranking of all flows stays as it was.
+    The key is derived from the sidecar's address, so a restart of the upstream changes no ranking.
     """
     key = view.key_of(f"{address[0]}:{address[1]}")
     return Upstream(name, born, service, address, zone, slots, leaving, warm_at, key, listed_at)
@@ -74,19 +73,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Index:
-    """The upstreams by address, and by service for those that choose among them."""
+    """The upstreams by their sidecars' addresses and by service."""
 
     by_address: dict[view.Address, Upstream]
     by_service: dict[str, list[Upstream]]
 
 
 def make_index(upstreams: typing.Iterable[Upstream]) -> Index:
-    """Return the upstreams sorted out; of two at one address the younger holds.
+    """Return the index of the upstreams; of those with the same address it keeps the youngest.
 
-    An address is used again soon after its upstream is gone, and the old entry may still stand:
-    routing to both would show one service's packets to another's upstream. Where entries don't say
-    when their upstreams started, the one that came to be last holds: one that is gone writes no
-    more. Taken by name, the gone one held its address in half of all cases until it lapsed.
+    An address may be reused while the entry of its former upstream has not expired. Keeping both
+    would send packets of one service to an upstream of another. Without times of start the most
+    recently created entry wins, since an upstream that has ended creates no entries.
     """
     by_address = {u.address: u for u in sorted(upstreams, key=age)}
     by_service: dict[str, list[Upstream]] = {}
@@ -96,14 +94,15 @@
 
 
 def age(upstream: Upstream) -> tuple[int, int, str]:
-    """Return what orders the starts of upstreams, the oldest first."""
+    """Return the sort key that orders upstreams by their start, the oldest first."""
     return (upstream.born, upstream.listed_at, upstream.name)
 
 
 class Fleet:
-    """The upstreams known, by name, and the availability zones that operators drain.
+    """The known upstreams by name, the drained availability zones, and the region of each zone.
 
-    `regions` gives the region of each zone.
+    `fading` holds the time in ms at which an upstream without an entry is dropped, `departed` the
+    dropped ones that may still be running. `added` counts the upstreams added.
     """
 
     def __init__(self) -> None:
@@ -116,7 +115,7 @@
         self.added = 0
 
     def put(self, upstream: Upstream) -> None:
-        """Take in what an upstream says of itself now."""
+        """Add an upstream by its published entry, or update it."""
         self.fading.pop(upstream.name, None)
         if self.upstreams.get(upstream.name) == upstream:
             return
@@ -125,7 +124,10 @@
         self.indexed = None
 
     def remove(self, name: str, now: int, keep_until: int = 0) -> bool:
-        """Drop an upstream whose entry is gone, or not before `keep_until`; tell if it went."""
+        """Remove an upstream that has lost its entry; return whether it was removed.
+
+        If `keep_until` is later than `now`, it is kept until that time in ms.
+        """
         if name not in self.upstreams:
             return False
         if keep_until > now:
@@ -138,12 +140,12 @@
         return True
 
     def note_departed(self, upstream: Upstream, until: int) -> None:
-        """Remember, until a time in ms, that an upstream without an entry may be alive."""
+        """Record, until a time in ms, that an upstream without an entry may be running."""
         if len(self.departed) < MAX_DEPARTED or upstream.address in self.departed:
             self.departed[upstream.address] = (upstream, until)
 
     def expire(self, now: int) -> list[str]:
-        """Drop the upstreams whose time after an outage is over; return their names."""
+        """Remove the upstreams whose grace period is over; return their names."""
         self.departed = {a: d for a, d in self.departed.items() if d[1] > now}
         over = [name for name, until in self.fading.items() if until <= now]
         for name in over:
@@ -152,7 +154,7 @@
 
     @property
     def index(self) -> "Index":
-        """Return the upstreams sorted out, anew only after a change: lists come in one piece."""
+        """Return the index, rebuilt on the first use after a change."""
         if self.indexed is None:
             self.indexed = make_index(self.upstreams.values())
         return self.indexed
@@ -167,25 +169,25 @@
         return self.index.by_service.get(service, ())
 
     def willing(self, service: str, regions: typing.Sequence[str] = ()) -> list[Upstream]:
-        """Return the upstreams of a service that may get new flows of a route kept to `regions`."""
+        """Return the upstreams of a service that accept new flows, in `regions` if given."""
         drained = self.drained
         willing = [u for u in self.of(service) if not u.leaving and u.zone not in drained]
         return [u for u in willing if self.within(u.zone, regions)] if regions else willing
 
     def within(self, zone: str, regions: typing.Sequence[str]) -> bool:
-        """Tell whether a zone lies in one of the regions that a route is kept to, if it is."""
+        """Return whether a zone lies in one of the regions, or no regions are given."""
         return not regions or self.regions.get(zone) in regions
 
     def perhaps_alive(self) -> list[Upstream]:
-        """Return the upstreams without an entry whose address nobody else has taken."""
+        """Return the upstreams without an entry whose address no listed upstream has taken."""
         return [gone for a, (gone, _) in self.departed.items() if a not in self.by_address]
 
     def predecessor(self, upstream: Upstream) -> Upstream | None:
-        """Return an older start at the upstream's address whose entry still stands, if any."""
+        """Return an older listed upstream at the same address, or None."""
         others = (u for u in self.upstreams.values() if u.address == upstream.address)
         return next((u for u in others if age(u) < age(upstream)), None)
 
     def lives(self, upstream: Upstream) -> bool:
-        """Tell whether that very start of the upstream is still listed."""
+        """Return whether this incarnation of the upstream is listed."""
         known = self.upstreams.get(upstream.name)
         return known is not None and known.born == upstream.born
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -1,4 +1,4 @@
-"""Decide where a new flow goes: whom to ask, and which upstream takes it by what they answer."""
+"""Place new flows: choose the sidecars to query, and the upstream by their answers."""
 
 import dataclasses
 import functools
@@ -8,24 +8,24 @@
 from ebonystile.core.carrying import effects, fleet, messages, packet, placing, search, state
 
 BUSY_SEARCHES = 64
-"""Searches under way from which on a new flow asks its first wave only.
+"""Number of running searches from which a new flow queries its first wave only.
 
-Answers are late then, and asking more sidecars for want of answers would keep them late.
+Answers are late under such load, and further queries would delay them more.
 """
 
 
 HOLD_MS = 300
-"""How long a new flow waits at most for an upstream that is not overloaded, in ms, counted from its
-first packet: its caller gives up after 1,400, and must still be answered."""
+"""How long a new flow may wait for an upstream that is not overloaded, in ms from its first packet.
+Its caller gives up after 1,400 ms."""
 
 HOLD_STEP_MS = 25
-"""How often the sidecars are asked meanwhile, in ms: about the time of a request."""
+"""Interval between queries for a waiting flow, in ms: about the duration of a request."""
 
 
 def search_for(
     known: state.State, received: packet.Packet, service: str, now: int
 ) -> search.Search:
-    """Return the search for an upstream that takes a new flow."""
+    """Return a search for an upstream that accepts a new flow."""
     willing = known.fleet.willing(service, known.current.routes.regions_of(received.flow))
     heard = [u for u in willing if u.address not in known.silence]
     near, far = placing.split(heard or willing, known.zone)
@@ -45,7 +45,7 @@
 
 
 def decide(known: state.State, found: search.Search, now: int) -> list[effects.Effect] | None:
-    """Return the placing of a new flow once it is clear, else None."""
+    """Return the effects that place, defer or refuse a new flow, or None to wait for answers."""
     kept = found.keeper()
     if kept is not None:
         return place(known, found, kept, now)
@@ -66,10 +66,10 @@
 def loads_now(
     known: state.State, found: search.Search
 ) -> list[tuple[fleet.Upstream, messages.Load]]:
-    """Return the loads that sidecars told, with the flows placed there since they were asked.
+    """Return the loads reported, plus the flows placed since the sidecars were asked.
 
-    Callers come at the same moment after an outage. The answers about all of them are given before
-    the first one has arrived, and most would go to the upstream that had the least work then.
+    When many flows open at once, all queries are answered before the first flow arrives. Without
+    the correction most flows would go to the upstream that was least loaded at that time.
     """
     placed = known.placed_since(found.asked_at)
     return [
@@ -79,7 +79,7 @@
 
 
 def with_more(load: messages.Load, flows: int) -> messages.Load:
-    """Return the load with some more flows, each of which is about to bring a request."""
+    """Return the load with `flows` more flows, each with one running request."""
     if not flows:
         return load
     return dataclasses.replace(load, running=load.running + flows, flows=load.flows + flows)
@@ -88,11 +88,10 @@
 def hold(
     known: state.State, found: search.Search, chosen: placing.Standing, now: int
 ) -> list[effects.Effect]:
-    """Ask again in a moment which upstream is the least busy, since all of them are overloaded.
+    """Defer a new flow while all upstreams are overloaded, and query the sidecars again.
 
-    When all callers come back at once after an outage, the requests on open flows fill every
-    upstream's queue. A new flow sent there is refused, and its caller, who comes back at once, is
-    refused again until it has no try left, although the queues are empty half a second later.
+    After an outage, requests on open flows fill every upstream's queue for about half a second. A
+    caller that is refused retries at once and would use up its retries in that time.
     """
     again = search_for(known, found.packets[-1], found.service, now)
     again.started_at = found.started_at
@@ -109,7 +108,7 @@
 def turn_away(
     known: state.State, found: search.Search, chosen: placing.Standing, now: int
 ) -> list[effects.Effect]:
-    """Tell the caller that no upstream may take its flow, all being cold and at their bounds."""
+    """Reset a new flow because all upstreams are in slow start and at their limits of new flows."""
     known.end(found)
     return [
         found.trace_end(now, reset=True, reason="cold", **inputs_of(chosen)),
@@ -124,7 +123,7 @@
     now: int,
     chosen: placing.Standing | None = None,
 ) -> list[effects.Effect]:
-    """Send the flow's opening packet to the upstream, `chosen` by its load or holding it."""
+    """Send the flow's opening packet to the upstream; `chosen` is None if it holds the flow."""
     known.end(found)
     known.remember(found.flow, upstream, now)
     if chosen is not None:
@@ -150,7 +149,7 @@
 
 
 def inputs_of(chosen: placing.Standing | None) -> dict[str, typing.Any]:
-    """Return what decided for an upstream, for the log."""
+    """Return the fields for the log that explain the choice of an upstream."""
     if chosen is None:
         return {"cost": "holds_it"}
     load = chosen.load
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -1,7 +1,7 @@
-"""Choose the upstream of a new flow from what sidecars have just observed.
+"""Choose the upstream of a new flow by the loads that sidecars report.
 
-A balancer opens a flow at a given upstream once in minutes, so it asks a few sidecars at the
-moment of the choice in place of keeping a table of loads: the answers are a round trip old.
+A balancer places a flow on a given upstream once in minutes, so it queries a few sidecars for each
+new flow instead of keeping a table of loads. The reports are one round trip old.
 """
 
 import dataclasses
@@ -11,52 +11,52 @@
 from ebonystile.core.placing import ranking
 
 NEAR = 8
-"""Upstreams of the own availability zone asked at once; what is asked within a zone is free."""
+"""Upstreams of the own availability zone in the first wave; traffic within a zone is free."""
 
 CANDIDATES = 3
-"""Upstreams of other zones asked at a time: with three, the least busy is nearly that of all
+"""Upstreams in the wave after it. The least loaded of three is nearly the least loaded of all
 (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001)."""
 
 ZONE_COST = 1.0
-"""Cost that another availability zone adds, in requests for each slot: to wait for one request is
-short against what callers grant, and bytes between zones are paid for."""
+"""Cost added to upstreams of other availability zones, in requests per slot. Waiting for one
+request is short against callers' timeouts, and traffic between zones is charged."""
 
 MOST_FLOW_WORK = 0.05
-"""Most requests that an open flow counts as running on average."""
+"""Upper bound of the mean number of running requests per open flow."""
 
 COLD_WORK = 1.6
-"""How many times longer an upstream takes for a request in its first seconds."""
+"""Factor on the cost of an upstream that is warming up."""
 
 EQUAL_WORK = 0.05
-"""Difference of work for each slot below which upstreams are taken for equally busy.
+"""Difference of cost up to which upstreams count as equally loaded; rank decides among them.
 
-Many callers come at once after an outage. All questions about them are answered before the first
-flow has arrived, and the slightest difference would send all flows to one upstream; equals are
-told apart by rank, which differs from flow to flow.
+When many flows open at once after an outage, all queries are answered before the first flow
+arrives, and the smallest difference would send every flow to the same upstream. Rank differs from
+flow to flow.
 """
 
 SLOW = 2.0
-"""How many times longer than others an upstream must take for a request to count as slow: more than
-the mean of a few requests differs by chance."""
+"""Ratio of an upstream's latency to the median above which it counts as slow: more than the mean of
+a few requests varies by chance."""
 
 LEAST_GOOD = 0.1
-"""Least share of good results that is divided by, so that the cost stays finite."""
+"""Lower bound of the success ratio, which keeps the cost finite."""
 
 CALM_GOOD = 0.9
-"""Share of good results from which an upstream needs no comparison with others."""
+"""Relative success ratio from which an upstream counts as healthy."""
 
 
 OVERLOADED = 4
-"""Requests for each slot, running or waiting there, from which a new flow is better held back: an
-upstream's queue is short, and it refuses what does not fit."""
+"""Running and queued requests per slot from which an upstream counts as overloaded: its queue is
+short, and it refuses requests beyond it."""
 
 
 @dataclasses.dataclass(slots=True)
 class Standing:
-    """How an upstream compares with others if it got the new flow.
+    """The rating of an upstream for a new flow.
 
-    `cost` is its work for each slot with the new flow, raised where it is cold, slow or failing;
-    `sound` says that it does not fail more than the others.
+    `cost` is its load per slot including the new flow, increased if it is warming up, slow or
+    failing; `sound` is set unless it fails more often than the others.
     """
 
     upstream: fleet.Upstream
@@ -66,20 +66,20 @@
 
     @property
     def unavailable(self) -> tuple[bool, bool]:
-        """Return whether it is silent, and whether it may get no more flows just now."""
+        """Return whether the upstream is silent, and whether it takes no more flows at present."""
         return (self.load.unresponsive, self.load.full)
 
     @property
     def calm(self) -> bool:
-        """Tell whether at most one request waits there and nothing speaks against it."""
+        """Return whether the upstream is available, healthy and has no queued requests."""
         load = self.load
         return not any(self.unavailable) and load.running <= load.slots and self.sound
 
     @property
     def overloaded(self) -> bool:
-        """Tell whether so many requests wait there that a new one had better wait here.
+        """Return whether the new flow should wait at the balancer instead.
 
-        Flows that were just opened alone don't make a crowd: not all bring a request at once.
+        Flows that have just opened don't suffice: a request must run on every slot.
         """
         load = self.load
         if load.full:
@@ -90,10 +90,10 @@
 def compare(
     answers: typing.Iterable[tuple[fleet.Upstream, messages.Load]], zone: str, now: int
 ) -> list[Standing]:
-    """Return how the upstreams compare, in their order.
+    """Return the ratings of the upstreams that accept flows, in the order given.
 
-    Only what the sidecars observe counts: a grey upstream says that it is well while it lets
-    requests hang, and what it says of its own load may be frozen.
+    They depend only on what sidecars observe: an upstream with a gray failure reports itself
+    healthy while requests hang, and its own load report may be stale.
     """
     accepting = [(upstream, load) for upstream, load in answers if load.accepting]
     flow_work = mean_flow_work([load for _, load in accepting])
@@ -112,14 +112,14 @@
 
 
 def mean_flow_work(loads: list[messages.Load]) -> float:
-    """Return how many requests an open flow has running on average, as these loads show it."""
+    """Return the mean number of running requests per open flow, limited by `MOST_FLOW_WORK`."""
     running = sum(load.running for load in loads)
     flows = sum(load.flows for load in loads)
     return min(MOST_FLOW_WORK, running / flows) if flows else 0.0
 
 
 def usual_latency(loads: list[messages.Load]) -> float:
-    """Return the lower median of the times that requests take, 0 if nobody knows."""
+    """Return the lower median of the known latencies in ms, 0 if there are none."""
     known = sorted(load.latency for load in loads if load.latency)
     return known[(len(known) - 1) // 2] if known else 0.0
 
@@ -127,7 +127,7 @@
 def cost_of(
     upstream: fleet.Upstream, load: messages.Load, flow_work: float, usual: float, now: int
 ) -> float:
-    """Return what one more flow at the upstream would cost."""
+    """Return the load per slot with one more flow, increased for a cold or slow upstream."""
     cost = (load.running + 1 + load.flows * flow_work) / max(1, load.slots)
     if now < upstream.warm_at:
         cost *= COLD_WORK
@@ -137,14 +137,14 @@
 
 
 def goodness(load: messages.Load, best_good: float) -> float:
-    """Return the share of good results as compared with the best that others have."""
+    """Return the success ratio relative to the best of the upstreams compared."""
     return max(LEAST_GOOD, load.success_rate) / max(LEAST_GOOD, best_good)
 
 
 def best(standings: typing.Sequence[Standing]) -> Standing | None:
-    """Return the least costly upstream, one that answers and has room if any does.
+    """Return the available upstream of the least cost, or None without upstreams.
 
-    Of equals it is the first.
+    An unavailable one is returned only if all are. The first of equally loaded ones wins.
     """
     if not standings:
         return None
@@ -162,7 +162,7 @@
 ) -> list[fleet.Upstream]:
     """Return the upstreams in the order in which they are asked to take a new flow.
 
-    Every copy of an opening packet gives the same order through any balancer of the zone.
+    The order is the same for every copy of an opening packet and at every balancer of the zone.
     """
     near, far = split(upstreams, zone)
     return [*first_wave(flow, near), *further(flow, near, far)]
@@ -171,7 +171,7 @@
 def split(
     upstreams: typing.Iterable[fleet.Upstream], zone: str
 ) -> tuple[list[fleet.Upstream], list[fleet.Upstream]]:
-    """Return the upstreams of the zone and those of all others."""
+    """Return the upstreams of the zone and those of all other zones."""
     near, far = [], []
     for upstream in upstreams:
         (near if upstream.zone == zone else far).append(upstream)
@@ -179,21 +179,21 @@
 
 
 def first_wave(flow: packet.Flow, near: list[fleet.Upstream]) -> list[fleet.Upstream]:
-    """Return whom of the own zone to ask first about a new flow."""
+    """Return the upstreams of the own zone that are asked first about a new flow."""
     return ranking.rank(flow, near)[:NEAR]
 
 
 def further(
     flow: packet.Flow, near: list[fleet.Upstream], far: list[fleet.Upstream]
 ) -> list[fleet.Upstream]:
-    """Return the upstreams after the first wave, other availability zones' before the own."""
+    """Return the upstreams after the first wave, those of other availability zones first."""
     return ranking.rank(flow, far) + ranking.rank(flow, near)[NEAR:]
 
 
 def later_waves(
     flow: packet.Flow, near: list[fleet.Upstream], far: list[fleet.Upstream]
 ) -> list[list[fleet.Upstream]]:
-    """Return whom to ask if the first are busy or silent, and last."""
+    """Return the waves that follow if the upstreams of the first are busy or silent."""
     rest = further(flow, near, far)
     groups = [rest[:CANDIDATES], rest[CANDIDATES : 3 * CANDIDATES]]
     return [group for group in groups if group]
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -1,4 +1,4 @@
-"""Let upstreams whose sidecars do not know say by a packet whether they hold an open flow."""
+"""Probe upstreams with a packet of an open flow when their sidecars can't tell who holds it."""
 
 from ebonystile.core import view
 from ebonystile.core.carrying import (
@@ -16,18 +16,17 @@
 def probe(
     known: state.State, found: search.Search, unknown: list[fleet.Upstream], now: int
 ) -> list[effects.Effect] | None:
-    """Let upstreams whose sidecars have just started say whether they hold the flow.
+    """Probe upstreams whose sidecars started too recently to know their flows.
 
-    If every sidecar answered, the one at the flow's home is among those asked, so the home
-    gets the packet too. If one is silent it may be the home, and a few upstreams only are
-    probed: several foreign packets of a flow and none at home would look like a flow that was
-    moved. Where most of the first wave don't know, all have started together, and the home is
-    likely one of the wave: they are probed before all others.
+    If every sidecar answered, the home is among the upstreams probed. If one is silent, it may be
+    the home, and only `PROBED_BLIND` others are probed: packets of the flow that reach several
+    other upstreams and not its home look like a flow that was moved. The upstreams of the first
+    wave are probed first, since the home is most likely one of them.
 
-    The others wait until the view is confirmed. Before that nobody can be told that a flow is
-    over, and to probe all upstreams for all flows would hold up those flows that live.
+    Before the view is confirmed at most `PROBED_EARLY` are probed. No flow can be reset before
+    that, and probing all upstreams for all flows would delay the flows that exist.
     """
-    # A probe carries the caller's data, which must not leave the route's regions.
+    # A probe carries the caller's data, which must stay in the route's regions.
     regions = known.current.routes.regions_of(found.flow)
     unknown = [u for u in unknown if known.fleet.within(u.zone, regions)]
     if not found.probed:
@@ -52,7 +51,7 @@
 def note_probed(
     known: state.State, found: search.Search, upstreams: list[fleet.Upstream], now: int
 ) -> effects.Effect:
-    """Note that upstreams are probed now, and wait for their answers."""
+    """Record that the upstreams are probed now, and schedule the end of the wait for answers."""
     found.probed.update(u.address for u in upstreams)
     found.asked_at = now
     found.give_up_at = now + search.PROBE_MS
@@ -68,7 +67,7 @@
 def probe_many(
     known: state.State, found: search.Search, upstreams: list[fleet.Upstream], now: int
 ) -> list[effects.Effect]:
-    """Let the upstreams be probed together with other searches, unless it has waited too long."""
+    """Add the search to the batch of probes, or end it if it has waited too long."""
     if now >= found.started_at + asking.PATIENCE_MS:
         return asking.give_up(known, found)
     if found.flow not in known.probes.waiting:
@@ -78,7 +77,7 @@
 
 
 def send_probes(known: state.State, now: int) -> list[effects.Effect]:
-    """Send the probes that wait, those for one upstream in common messages."""
+    """Send the next batch of probes, with those for the same upstream in common messages."""
     flows, wanted = known.probes.next_flows()
     if not known.fanout.take(wanted, now):
         known.probes.due = max(now + 1, known.fanout.ready_at(wanted, now))
--- a/src/ebonystile/core/carrying/routes.py
+++ b/src/ebonystile/core/carrying/routes.py
@@ -1,4 +1,4 @@
-"""Hold the routes in force: which service new flows to an address and port go to."""
+"""Map addresses and ports to the services that receive their flows."""
 
 import dataclasses
 import typing
@@ -8,14 +8,14 @@
 from ebonystile.core.carrying import packet, warming
 
 SPLIT_SEED = 0x51
-"""Seed that keeps the split of a route's flows independent of their ranking."""
+"""Hash seed that makes the split of a route's flows independent of the ranking of upstreams."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where the flows of one address and port go: services with their weights.
+    """The destination of the flows to one address and port: services with their weights.
 
-    `regions` are those whose upstreams may get the flows, empty for all.
+    `regions` are those whose upstreams may receive the flows; empty allows all regions.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """Return every service that flows of the route may go to."""
+        """Return the services that may receive flows of the route."""
         return tuple(service for service, weight in self.shares if weight > 0)
 
 
@@ -43,8 +43,8 @@
 class Routes:
     """All routes of one version of the configuration.
 
-    `idle` is how long a flow may be silent before it may be forgotten, in ms. `warm_ups` tells by
-    service how upstreams start.
+    `by_end` maps the bytes of an address and port to their route. `idle` is the idle timeout of
+    flows in ms. `warm_ups` gives the slow start of upstreams by service.
     """
 
     version: int
@@ -53,21 +53,21 @@
     warm_ups: typing.Mapping[str, warming.WarmUp] = dataclasses.field(default_factory=dict)
 
     def find(self, flow: packet.Flow) -> Route | None:
-        """Return the route of the flow, or None where there is none."""
+        """Return the route of the flow, or None if there is none."""
         return self.by_end.get(packet.route_end(flow))
 
     def regions_of(self, flow: packet.Flow) -> tuple[str, ...]:
-        """Return the regions that the flow's route is kept to, empty for all of them."""
+        """Return the regions that the flow's route is restricted to, empty for all regions."""
         route = self.find(flow)
         return route.regions if route is not None else ()
 
     def warm_up_of(self, service: str) -> warming.WarmUp:
-        """Return how the upstreams of a service start."""
+        """Return the slow start of the upstreams of a service."""
         return self.warm_ups.get(service, warming.UNBOUNDED)
 
 
 DEFAULT_IDLE = 15_000
-"""Silence after which a flow may be forgotten while no configuration says so, in ms."""
+"""Idle timeout of flows in ms while no configuration is known."""
 
 EMPTY = Routes(0, {}, DEFAULT_IDLE)
 
@@ -78,16 +78,16 @@
     idle: int,
     warm_ups: typing.Mapping[str, warming.WarmUp] | None = None,
 ) -> Routes:
-    """Return routes given with their addresses and ports."""
+    """Return the routes of a version from their addresses and ports."""
     by_end = {packet.end_of(host, port): route for host, port, route in routes}
     return Routes(version, by_end, idle, warm_ups or {})
 
 
 class Current:
-    """The routes in force, and where flows opened under earlier ones may still live.
+    """The routes in force, and the services that may hold flows opened under earlier versions.
 
-    A version never falls: a late answer of the platform, or one of a peer that lags, would
-    otherwise bring back a route that was dropped, and a caller's request would run by it.
+    The version never decreases: a late response of the store, or one of a peer that lags behind,
+    must not restore a route that was removed.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self.former: dict[bytes, set[str]] = {}
 
     def replace(self, newer: Routes) -> bool:
-        """Put newer routes in force; return whether they are newer."""
+        """Put the routes in force if their version is newer; return whether it is."""
         if newer.version <= self.routes.version:
             return False
         for end, route in self.routes.by_end.items():
@@ -107,7 +107,7 @@
         return True
 
     def services_of(self, flow: packet.Flow) -> tuple[str, ...]:
-        """Return the services that may hold the open flow, the likeliest first."""
+        """Return the services that may hold the open flow, the most likely first."""
         route = self.routes.find(flow)
         if route is None:
             return ()
--- a/src/ebonystile/core/carrying/state.py
+++ b/src/ebonystile/core/carrying/state.py
@@ -1,8 +1,8 @@
-"""Hold what one balancer believes about carried flows, and the steps that its parts share.
+"""Hold the state of one balancer's carried flows and the operations shared by its modules.
 
-The parts (`opening`, `finding`) decide by this state and change it; `balancer.Balancer` is the only
-entrance from outside. Nothing here must outlive the process: `homes` is a cache of what sidecars
-have said, and a packet of a flow that is not in it starts a search.
+The other modules, such as `opening` and `finding`, read and change this state; callers use
+`balancer.Balancer`. The state is soft: `homes` caches the sidecars' answers, and a packet of a flow
+that is not in the cache starts a search.
 """
 
 import collections
@@ -22,31 +22,31 @@
 )
 
 FANOUT_PER_S, FANOUT_BURST = 1_000, 300
-"""Messages a second, and at once, for searches beyond their first wave: these ask everybody there
-is, and probe all who do not know. Unbounded, the searches after an outage would keep a balancer
-from answering new flows."""
+"""Rate and burst, in messages, of the second and later waves of searches, which go to all sidecars.
+Without the limit, searches for open flows after an outage would delay new flows."""
 
 UNREACHABLE_MS = 800
-"""Silence of all sidecars asked after which this balancer asks the fabric for no more packets."""
+"""Time in ms without a message from any sidecar, counted from the first unanswered query, after
+which this balancer counts as cut off and reports that it is not ready."""
 
 VIEW_AGE_MS = 1_000
-"""How long this process must have had its view before it tells a caller that a flow is gone, in
-ms, where nobody can tell of upstreams without an entry: entries lost in an outage of the store
-come back within about two heartbeats."""
+"""Time in ms that the view must have been current before a flow not found is reset, if neither a
+seed nor the witnesses have confirmed the view. Upstreams publish entries that were lost in an
+outage of the store again within about two heartbeats."""
 
 PLACED_MS = 100
-"""How long a placing is remembered, in ms: answers to questions are seldom older."""
+"""How long a placement is remembered, in ms: longer than most answers take."""
 
 MAX_PENDING = 1_000
-"""Flows not found that wait for a confirmed view; one more takes the place of the oldest."""
+"""Flows not found that wait for a confirmed view; a further one evicts the oldest."""
 
 
 @dataclasses.dataclass(slots=True)
 class Home:
-    """Where a flow lives, as a sidecar said; times in ms.
+    """The upstream that holds a flow; times in ms.
 
-    `checked_until` is how long a sidecar's word holds that a flow lives on although the upstream's
-    entry is gone.
+    Until `checked_until` the home counts as confirmed by its sidecar, even if the upstream has no
+    entry in the store.
     """
 
     upstream: fleet.Upstream
@@ -55,7 +55,7 @@
 
 
 class State:
-    """What one balancer believes."""
+    """The state of one balancer."""
 
     def __init__(
         self, zone: str, now: int, seeds: tuple[view.Address, ...] = (), *, is_seed: bool = False
@@ -85,7 +85,7 @@
         self.fanout = budget.Budget(FANOUT_PER_S, FANOUT_BURST)
 
     def next_due(self) -> int | None:
-        """Return when the next search or question wants to go on, in ms."""
+        """Return the time in ms at which `on_due` must run next, or None."""
         dues = (
             self.next_search_due(),
             self.batch.due,
@@ -96,13 +96,13 @@
         return min((due for due in dues if due is not None), default=None)
 
     def pending_until(self) -> int | None:
-        """Return when the pending flows can be decided at the latest, in ms."""
+        """Return the time in ms by which the view is confirmed for pending flows, or None."""
         if not self.pending or not self.view_fresh or self.finding:
             return None
         return self.view_since + VIEW_AGE_MS
 
     def next_search_due(self) -> int | None:
-        """Return when the next single search wants to go on, in ms."""
+        """Return the time in ms at which the next search is due, or None."""
         while self.dues:
             due, flow = self.dues[0]
             found = self.searches.get(flow)
@@ -112,28 +112,29 @@
         return None
 
     def wait(self, found: search.Search, due: int) -> None:
-        """Go on with the search at the time `due` in ms."""
+        """Schedule the search's next step at the time `due` in ms."""
         found.due = due
         heapq.heappush(self.dues, (due, found.flow))
 
     def view_confirmed(self, now: int) -> bool:
-        """Tell whether the view is the store's present word, and nobody is missing in it.
+        """Return whether the view is current and complete.
 
-        It has been for a while, or a seed or witnesses have told of all upstreams without an entry.
+        It counts as complete after `VIEW_AGE_MS`, or earlier once a seed or enough witnesses have
+        listed the sidecars of upstreams without an entry.
         """
         if not self.view_fresh:
             return False
         return self.confirmation.confirmed or now - self.view_since >= VIEW_AGE_MS
 
     def set_fresh(self, fresh: bool, now: int) -> None:
-        """Note whether the view is the store's present word."""
+        """Record whether the view matches the store's present content."""
         if fresh and not self.view_fresh:
             self.view_since = now
             self.confirmation.view_began(now)
         self.view_fresh = fresh
 
     def unreachable(self, now: int) -> bool:
-        """Tell whether no sidecar has answered for a while, though some were asked."""
+        """Return whether sidecars were asked and none has answered for `UNREACHABLE_MS`."""
         return self.unheard_since is not None and now - self.unheard_since > UNREACHABLE_MS
 
     def keep_pending(self, received: packet.Packet) -> None:
@@ -143,7 +144,7 @@
         self.pending[received.flow] = received
 
     def note_placed(self, upstream: fleet.Upstream, now: int) -> None:
-        """Note that a new flow was placed on the upstream just now."""
+        """Record that a new flow was placed on the upstream."""
         while self.placed and self.placed[0][0] < now - PLACED_MS:
             self.placed.popleft()
         self.placed.append((now, upstream.address))
@@ -153,7 +154,7 @@
         return collections.Counter(address for at, address in self.placed if at >= asked_at)
 
     def patience(self, found: search.Search) -> int:
-        """Return until when a search waits for those whose word is still out, in ms."""
+        """Return the time in ms until which a search waits for outstanding answers."""
         if any(self.fleet.lives(upstream) for upstream in found.awaited()):
             return found.give_up_at
         return min(found.give_up_at, found.asked_at + search.UNLISTED_MS)
@@ -161,8 +162,8 @@
     def missing(self, found: search.Search) -> list[fleet.Upstream]:
         """Return the upstreams with an entry whose sidecars have not answered.
 
-        A silent one without an entry is gone as a rule, and nothing waits for it that a flow needs
-        which lives elsewhere.
+        Those without an entry are left out: most of them have ended, and a search doesn't wait for
+        them.
         """
         return [upstream for upstream in found.unanswered() if self.fleet.lives(upstream)]
 
@@ -173,14 +174,14 @@
         return []
 
     def remember(self, flow: packet.Flow, upstream: fleet.Upstream, now: int) -> Home:
-        """Remember where a flow lives."""
+        """Store the upstream that holds a flow."""
         home = self.homes[flow] = Home(upstream, now)
         self.missing_since.pop(flow, None)
         self.pending.pop(flow, None)
         return home
 
     def ask_next(self, found: search.Search, now: int) -> list[effects.Effect]:
-        """Ask the next wave."""
+        """Return the queries to the search's next wave of sidecars."""
         wave = found.next_wave(now)
         self.wait(found, found.due)
         if self.unheard_since is None:
--- a/src/ebonystile/core/rng.py
+++ b/src/ebonystile/core/rng.py
@@ -1,16 +1,17 @@
-"""Name what the cores need of a source of random numbers, which callers pass in, seeded in tests.
+"""Interface of the random number generators that are passed to the cores.
 
-`random.Random` fits. The cores may not import it, so that the same input gives the same decision.
+`random.Random` implements it. The cores don't import `random`, so that their decisions depend on
+their inputs alone.
 """
 
 import typing
 
 
 class Rng(typing.Protocol):
-    """The part of `random.Random` that the cores use."""
+    """The methods of `random.Random` that the cores use."""
 
     def random(self) -> float:
-        """Return a number from 0 up to but not including 1."""
+        """Return a number in the interval [0, 1)."""
 
     def uniform(self, a: float, b: float) -> float:
         """Return a number between `a` and `b`."""
@@ -22,4 +23,4 @@
         """Return `n` random bytes."""
 
     def randrange(self, stop: int) -> int:
-        """Return a whole number from 0 up to but not including `stop`."""
+        """Return an integer in the interval [0, `stop`)."""
--- a/src/ebonystile/core/view.py
+++ b/src/ebonystile/core/view.py
@@ -1,7 +1,7 @@
-"""What a process believes about services and instances: the input of every routing decision.
+"""The services and instances known to a process, on which its routing decisions are based.
 
 A `View` is immutable. Configuration code builds a new one whenever a newer document is accepted;
-the cores only ever swap one view for another of the same or a higher revision.
+the cores replace a view only by one of the same or a higher revision.
 """
 
 import dataclasses
@@ -11,24 +11,24 @@
 import xxhash
 
 Address = tuple[str, int]
-"""An IPv4 address and a port. UDP and TCP of one process share the number."""
+"""An IPv4 address and a port; a process uses the same port for UDP and TCP."""
 
 TOKEN = struct.Struct("!QQQ")
-"""A token on the wire: upstream key, incarnation, service key (24 bytes)."""
+"""Wire format of a token: upstream key, incarnation, service key (24 bytes)."""
 
 
 def key_of(name: str) -> int:
-    """Return the 64-bit key that stands for a name in tokens and rankings (xxh3)."""
+    """Return the 64-bit hash (xxh3) that identifies a name in tokens and rankings."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Token:
-    """The home of a flow: which upstream, which of its homes, for which service.
+    """The home of a flow: the keys of its upstream and service, and the home's incarnation.
 
-    `incarnation` is drawn at random for each home that a sidecar gives a flow. A restarted sidecar,
-    or one that takes a flow of the same id again, is another home: a packet that was delayed for
-    long can never be taken for one of the new home, which knows nothing of what the old one ran.
+    `incarnation` is a random number drawn for each home that a sidecar creates. It differs after a
+    restart of the sidecar and when a flow id is used again, so that a delayed packet of the old
+    home is never taken for one of the new home.
     """
 
     upstream: int
@@ -41,7 +41,7 @@
 
 
 def unpack_token(data: bytes) -> Token | None:
-    """Return the token in `data`, or None where there is none."""
+    """Return the token in `data`, or None if its length is wrong."""
     if len(data) != TOKEN.size:
         return None
     return Token(*TOKEN.unpack(data))
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An upstream with the sidecar beside it; `address` is the sidecar's."""
+    """An upstream and its sidecar; `address` is the sidecar's."""
 
     name: str
     address: Address
@@ -59,17 +59,16 @@
 
 
 def make_endpoint(name: str, address: Address, zone: str, *, leaving: bool = False) -> Endpoint:
-    """Return an endpoint with its key worked out."""
+    """Return an endpoint with the key of its name."""
     return Endpoint(name, address, zone, leaving, key_of(name))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service and every upstream that its selector matches now, those leaving included.
+    """A service and all upstreams that its selector matches, including those that are leaving.
 
-    `accepting` are those of them that may take new work; `accepting_keys` holds their keys, 8 bytes
-    each in that order, side by side in memory: among thousands of services, fetching the keys from
-    the endpoints one by one costs more than ranking them.
+    `accepting` are the upstreams that accept new work; `accepting_keys` holds their keys in the
+    same order, 8 bytes each. The contiguous copy is faster to rank than the endpoints' attributes.
     """
 
     name: str
@@ -81,7 +80,7 @@
 
 
 def make_service(name: str, address: str, upstreams: typing.Iterable[Endpoint]) -> Service:
-    """Return a service with its key and its accepting upstreams worked out."""
+    """Return a service with its key and its accepting upstreams."""
     members = tuple(upstreams)
     accepting = tuple(u for u in members if not u.leaving)
     keys = struct.pack(f"!{len(accepting)}Q", *[u.key for u in accepting])
@@ -90,10 +89,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """Services by name, endpoints by key, and the balancers, all at one revision.
+    """Services by name, endpoints by key, and the balancers' addresses at one revision.
 
-    `revision` is the platform's of the documents, `instances_revision` that of its list of
-    instances; neither ever falls from one view to the next.
+    `revision` is the platform's revision of the documents, `instances_revision` that of its list of
+    instances. Neither decreases from one view to the next.
     """
 
     revision: int
@@ -103,7 +102,7 @@
     instances_revision: int = 0
 
     def services_of(self, name: str) -> frozenset[str]:
-        """Return the names of the services that the upstream called `name` serves."""
+        """Return the names of the services that the upstream `name` serves."""
         return frozenset(
             s.name for s in self.services.values() if any(u.name == name for u in s.upstreams)
         )
@@ -115,7 +114,7 @@
     endpoints: typing.Iterable[Endpoint] = (),
     balancers: typing.Iterable[Address] = (),
 ) -> View:
-    """Return a view; endpoints that a service names need not be listed again."""
+    """Return a view; `endpoints` need not repeat the upstreams of the services."""
     by_name = {s.name: s for s in services}
     by_key = {e.key: e for e in endpoints}
     for service in by_name.values():
