--- a/src/ebonystile/core/carrying/asking.py
+++ b/src/ebonystile/core/carrying/asking.py
@@ -1,7 +1,7 @@
 """Query all sidecars about open flows, many flows per message, within the fan-out budget."""
 
 from ebonystile.core import view
-from ebonystile.core.carrying import effects, messages, packet, search, state
+from ebonystile.core.carrying import balancer_state, effects, flow_search, messages, packet
 
 FINDING_SINGLY = 16
 """Number of running searches for open flows from which further ones are batched."""
@@ -10,7 +10,9 @@
 """Time limit of a search that waits for the fan-out budget, in ms from its start."""
 
 
-def ask_everybody(known: state.State, found: search.Search, now: int) -> list[effects.Effect]:
+def ask_everybody(
+    known: balancer_state.State, found: flow_search.Search, now: int
+) -> list[effects.Effect]:
     """Add the search to the batch of queries, or end it if it has waited too long."""
     if now >= found.started_at + PATIENCE_MS:
         return give_up(known, found)
@@ -20,16 +22,16 @@
     return []
 
 
-def give_up(known: state.State, found: search.Search) -> list[effects.Effect]:
+def give_up(known: balancer_state.State, found: flow_search.Search) -> list[effects.Effect]:
     """End a search that waited too long for the budget; its caller retransmits."""
     known.batch.waiting.pop(found.flow, None)
     known.probes.waiting.pop(found.flow, None)
     return known.end(found)
 
 
-def ask_batch(known: state.State, now: int) -> list[effects.Effect]:
+def ask_batch(known: balancer_state.State, now: int) -> list[effects.Effect]:
     """Send the next batch of queries, in one message to each sidecar."""
-    wanted = min(len(known.fleet.by_address), search.LATER_WAVE)
+    wanted = min(len(known.fleet.by_address), flow_search.LATER_WAVE)
     if not known.fanout.take(wanted, now):
         known.batch.due = max(now + 1, known.fanout.ready_at(wanted, now))
         return []
@@ -54,7 +56,7 @@
 
 
 def wait_for_room(
-    known: state.State, found: search.Search, messages_wanted: int, now: int
+    known: balancer_state.State, found: flow_search.Search, messages_wanted: int, now: int
 ) -> list[effects.Effect]:
     """Schedule the search for when the budget allows the messages, or end it if too late."""
     due = max(now + 1, known.fanout.ready_at(messages_wanted, now))
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -12,14 +12,14 @@
 from ebonystile.core.carrying import (
     announcing,
     asking,
+    balancer_state,
     effects,
     finding,
+    flow_search,
     messages,
     opening,
     packet,
     probing,
-    search,
-    state,
 )
 
 MAX_HOMES = 100_000
@@ -43,7 +43,7 @@
 """A flow that does not exist, for queries that only test whether a sidecar answers."""
 
 
-class Balancer(state.State):
+class Balancer(balancer_state.State):
     """The core of one balancer; its methods return the effects to carry out, in order."""
 
     def on_caller(self, received: packet.Packet, now: int) -> list[effects.Effect]:
@@ -78,7 +78,7 @@
         ]
 
     def begin(
-        self, received: packet.Packet, home: state.Home | None, now: int
+        self, received: packet.Packet, home: balancer_state.Home | None, now: int
     ) -> list[effects.Effect]:
         """Begin a search for the upstream of a flow."""
         route = self.current.routes.find(received.flow)
@@ -95,7 +95,7 @@
             return []
         if home is not None:
             begun.previous = home
-            begun.waves[:1] = [search.with_first(home.upstream, (begun.waves or [[]])[0])]
+            begun.waves[:1] = [flow_search.with_first(home.upstream, (begun.waves or [[]])[0])]
         if not begun.goes_on and (received.opens or self.view_confirmed(now)):
             return self.nobody(received)
         if not begun.goes_on:
@@ -204,7 +204,7 @@
         self.homes = {f: h for f, h in self.homes.items() if now - h.seen_at < idle}
         self.missing_since = {f: at for f, at in self.missing_since.items() if now - at < idle}
 
-    def go_on(self, found: search.Search, now: int) -> list[effects.Effect]:
+    def go_on(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
         """Decide by the answers so far, ask further sidecars, or end the search."""
         decide = opening.decide if found.opening else finding.decide
         decided = decide(self, found, now)
@@ -223,13 +223,13 @@
             return []
         return self.end_of_search(found, now)
 
-    def note_silent(self, found: search.Search, now: int) -> None:
+    def note_silent(self, found: flow_search.Search, now: int) -> None:
         """Record the sidecars that did not answer in time as silent for `SILENCE_MS`."""
         for upstream in found.unanswered():
-            self.silence[upstream.address] = now + search.SILENCE_MS
+            self.silence[upstream.address] = now + flow_search.SILENCE_MS
             self.silent_since.setdefault(upstream.address, now)
 
-    def end_of_search(self, found: search.Search, now: int) -> list[effects.Effect]:
+    def end_of_search(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
         """End a failed search: reset the flow if it has certainly ended, else drop its packets.
 
         A search for an open flow is repeated if the result is uncertain although all sidecars
--- a/src/ebonystile/core/carrying/state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -15,10 +15,10 @@
     batches,
     effects,
     fleet,
+    flow_search,
     messages,
     packet,
     routes,
-    search,
 )
 
 FANOUT_PER_S, FANOUT_BURST = 1_000, 300
@@ -68,7 +68,7 @@
         self.current = routes.Current()
         self.fleet = fleet.Fleet()
         self.homes: dict[packet.Flow, Home] = {}
-        self.searches: dict[packet.Flow, search.Search] = {}
+        self.searches: dict[packet.Flow, flow_search.Search] = {}
         self.silence: dict[view.Address, int] = {}
         self.silent_since: dict[view.Address, int] = {}
         self.view_fresh = False
@@ -111,7 +111,7 @@
             heapq.heappop(self.dues)
         return None
 
-    def wait(self, found: search.Search, due: int) -> None:
+    def wait(self, found: flow_search.Search, due: int) -> None:
         """Schedule the search's next step at the time `due` in ms."""
         found.due = due
         heapq.heappush(self.dues, (due, found.flow))
@@ -153,13 +153,13 @@
         """Return how many flows were placed on each upstream at or after a time in ms."""
         return collections.Counter(address for at, address in self.placed if at >= asked_at)
 
-    def patience(self, found: search.Search) -> int:
+    def patience(self, found: flow_search.Search) -> int:
         """Return the time in ms until which a search waits for outstanding answers."""
         if any(self.fleet.lives(upstream) for upstream in found.awaited()):
             return found.give_up_at
-        return min(found.give_up_at, found.asked_at + search.UNLISTED_MS)
+        return min(found.give_up_at, found.asked_at + flow_search.UNLISTED_MS)
 
-    def missing(self, found: search.Search) -> list[fleet.Upstream]:
+    def missing(self, found: flow_search.Search) -> list[fleet.Upstream]:
         """Return the upstreams with an entry whose sidecars have not answered.
 
         Those without an entry are left out: most of them have ended, and a search doesn't wait for
@@ -167,7 +167,7 @@
         """
         return [upstream for upstream in found.unanswered() if self.fleet.lives(upstream)]
 
-    def end(self, found: search.Search) -> list[effects.Effect]:
+    def end(self, found: flow_search.Search) -> list[effects.Effect]:
         """End a search; the caller's next packet may begin another one."""
         del self.searches[found.flow]
         self.finding -= not found.opening
@@ -180,7 +180,7 @@
         self.pending.pop(flow, None)
         return home
 
-    def ask_next(self, found: search.Search, now: int) -> list[effects.Effect]:
+    def ask_next(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
         """Return the queries to the search's next wave of sidecars."""
         wave = found.next_wave(now)
         self.wait(found, found.due)
--- a/src/ebonystile/core/carrying/batches.py
+++ b/src/ebonystile/core/carrying/batches.py
@@ -9,7 +9,7 @@
 import typing
 
 from ebonystile.core import view
-from ebonystile.core.carrying import fleet, packet, search
+from ebonystile.core.carrying import fleet, flow_search, packet
 
 GATHER_MS = 20
 """How long a search waits for others to join its batch, in ms."""
@@ -29,18 +29,20 @@
     query sent, by the number that its answer repeats.
     """
 
-    waiting: dict[packet.Flow, search.Search] = dataclasses.field(default_factory=dict)
+    waiting: dict[packet.Flow, flow_search.Search] = dataclasses.field(default_factory=dict)
     due: int | None = None
     number: int = 0
     asked: dict[int, tuple[int, tuple[packet.Flow, ...]]] = dataclasses.field(default_factory=dict)
 
-    def add(self, found: search.Search, now: int) -> None:
+    def add(self, found: flow_search.Search, now: int) -> None:
         """Add a search to the next batch."""
         self.waiting[found.flow] = found
         if self.due is None:
             self.due = now + GATHER_MS
 
-    def take(self, searches: dict[packet.Flow, search.Search], now: int) -> list[search.Search]:
+    def take(
+        self, searches: dict[packet.Flow, flow_search.Search], now: int
+    ) -> list[flow_search.Search]:
         """Remove the next batch and return its searches that are still running."""
         flows = list(self.waiting)[:MOST_TOGETHER]
         taken = [self.waiting.pop(flow) for flow in flows]
@@ -71,12 +73,12 @@
     most searches would wait for the fan-out budget beyond their callers' timeouts.
     """
 
-    waiting: dict[packet.Flow, tuple[search.Search, list[fleet.Upstream]]] = dataclasses.field(
+    waiting: dict[packet.Flow, tuple[flow_search.Search, list[fleet.Upstream]]] = dataclasses.field(
         default_factory=dict
     )
     due: int | None = None
 
-    def add(self, found: search.Search, upstreams: list[fleet.Upstream], now: int) -> None:
+    def add(self, found: flow_search.Search, upstreams: list[fleet.Upstream], now: int) -> None:
         """Add a search to the next batch."""
         self.waiting[found.flow] = (found, upstreams)
         if self.due is None:
@@ -95,7 +97,7 @@
             all_addresses = addresses.union(u.address for u in upstreams)
             whole_size = size + len(found.packets[0].raw) * len(upstreams)
             messages_then = max(len(all_addresses), math.ceil(whole_size / MOST_PROBE_BYTES))
-            full = len(flows) >= MOST_TOGETHER or messages_then > search.LATER_WAVE
+            full = len(flows) >= MOST_TOGETHER or messages_then > flow_search.LATER_WAVE
             if flows and full:
                 break
             flows.append(flow)
@@ -103,8 +105,8 @@
         return flows, wanted
 
     def take(
-        self, flows: list[packet.Flow], searches: dict[packet.Flow, search.Search], now: int
-    ) -> list[tuple[search.Search, list[fleet.Upstream]]]:
+        self, flows: list[packet.Flow], searches: dict[packet.Flow, flow_search.Search], now: int
+    ) -> list[tuple[flow_search.Search, list[fleet.Upstream]]]:
         """Remove these flows; return the searches still running, with the upstreams to probe."""
         taken = [self.waiting.pop(flow) for flow in flows]
         self.due = now + GATHER_MS if self.waiting else None
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -8,14 +8,14 @@
 
 from ebonystile.core.carrying import (
     asking,
+    balancer_state,
     effects,
     fleet,
+    flow_search,
     messages,
     packet,
     placing,
     probing,
-    search,
-    state,
 )
 
 QUEUE_MS, MAX_QUEUED = 400, 1_000
@@ -44,23 +44,25 @@
 Waiting for the caller's next copy instead takes up to 1.6 s more."""
 
 
-def search_for(known: state.State, received: packet.Packet, now: int) -> search.Search:
+def search_for(
+    known: balancer_state.State, received: packet.Packet, now: int
+) -> flow_search.Search:
     """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
     names = known.current.services_of(flow)
     likely = [u for name in names for u in placing.order(flow, known.fleet.of(name), known.zone)]
-    begun = search.Search(flow, "", [received], [], started_at=now, due=now)
-    first = likely[: search.FIRST_WAVE] if known.finding < asking.FINDING_SINGLY else []
+    begun = flow_search.Search(flow, "", [received], [], started_at=now, due=now)
+    first = likely[: flow_search.FIRST_WAVE] if known.finding < asking.FINDING_SINGLY else []
     if first:
         begun.waves = [first]
     others = [u for u in known.fleet.by_address.values() if u.service not in names]
     others += without_entry(known, now)
     if others or len(likely) > len(first):
-        begun.later = functools.partial(search.later_waves, likely[len(first) :], others)
+        begun.later = functools.partial(flow_search.later_waves, likely[len(first) :], others)
     return begun
 
 
-def without_entry(known: state.State, now: int) -> list[fleet.Upstream]:
+def without_entry(known: balancer_state.State, now: int) -> list[fleet.Upstream]:
     """Return the upstreams without an entry whose sidecars may answer.
 
     An upstream cut off from the store still serves its flows, which must not be reset. Most of the
@@ -72,13 +74,15 @@
     return [u for u in alive if now - since.get(u.address, now) < GONE_AFTER_MS]
 
 
-def queue(known: state.State, received: packet.Packet, now: int) -> None:
+def queue(known: balancer_state.State, received: packet.Packet, now: int) -> None:
     """Queue a packet of an open flow until a search for it may begin."""
     if len(known.queued) < MAX_QUEUED:
         known.queued.setdefault(received.flow, (received, now + QUEUE_MS))
 
 
-def decide(known: state.State, found: search.Search, now: int) -> list[effects.Effect] | None:
+def decide(
+    known: balancer_state.State, found: flow_search.Search, now: int
+) -> list[effects.Effect] | None:
     """Return the effects by which the answers end or advance the search, or None to wait."""
     kept = found.keeper()
     if kept is not None:
@@ -105,7 +109,7 @@
     return probing.probe(known, found, unknown, now)
 
 
-def confirmed(known: state.State, found: search.Search, now: int) -> bool:
+def confirmed(known: balancer_state.State, found: flow_search.Search, now: int) -> bool:
     """Return whether a flow that was not found has ended.
 
     One search is enough if every sidecar has answered, or if the upstream of the former home has no
@@ -123,14 +127,14 @@
 
 
 def look_again(
-    known: state.State, packets: list[packet.Packet], now: int, due: int, looks: int = 2
+    known: balancer_state.State, packets: list[packet.Packet], now: int, due: int, looks: int = 2
 ) -> list[effects.Effect]:
     """Schedule a search of all sidecars at the time `due` in ms; `looks` is its number."""
     again = search_for(known, packets[0], now)
     again.packets = packets
     again.waves = []
     everybody = [*known.fleet.by_address.values(), *without_entry(known, now)]
-    again.later = functools.partial(search.later_waves, everybody, ())
+    again.later = functools.partial(flow_search.later_waves, everybody, ())
     again.looks = looks
     known.searches[again.flow] = again
     known.finding += 1
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -5,7 +5,15 @@
 import typing
 
 from ebonystile.core import view
-from ebonystile.core.carrying import effects, fleet, messages, packet, placing, search, state
+from ebonystile.core.carrying import (
+    balancer_state,
+    effects,
+    fleet,
+    flow_search,
+    messages,
+    packet,
+    placing,
+)
 
 BUSY_SEARCHES = 64
 """Number of running searches from which a new flow queries its first wave only.
@@ -23,8 +31,8 @@
 
 
 def search_for(
-    known: state.State, received: packet.Packet, service: str, now: int
-) -> search.Search:
+    known: balancer_state.State, received: packet.Packet, service: str, now: int
+) -> flow_search.Search:
     """Return a search for an upstream that accepts a new flow."""
     willing = known.fleet.willing(service, known.current.routes.regions_of(received.flow))
     heard = [u for u in willing if u.address not in known.silence]
@@ -36,7 +44,7 @@
     else:
         waves = placing.later_waves(flow, near, far)
         later = None
-    begun = search.Search(flow, service, [received], waves, started_at=now, due=now)
+    begun = flow_search.Search(flow, service, [received], waves, started_at=now, due=now)
     if len(known.searches) >= BUSY_SEARCHES:
         begun.waves = waves[:1]
     elif len(near) + len(far) > sum(map(len, waves)):
@@ -44,7 +52,9 @@
     return begun
 
 
-def decide(known: state.State, found: search.Search, now: int) -> list[effects.Effect] | None:
+def decide(
+    known: balancer_state.State, found: flow_search.Search, now: int
+) -> list[effects.Effect] | None:
     """Return the effects that place, defer or refuse a new flow, or None to wait for answers."""
     kept = found.keeper()
     if kept is not None:
@@ -64,7 +74,7 @@
 
 
 def loads_now(
-    known: state.State, found: search.Search
+    known: balancer_state.State, found: flow_search.Search
 ) -> list[tuple[fleet.Upstream, messages.Load]]:
     """Return the loads reported, plus the flows placed since the sidecars were asked.
 
@@ -86,7 +96,7 @@
 
 
 def hold(
-    known: state.State, found: search.Search, chosen: placing.Standing, now: int
+    known: balancer_state.State, found: flow_search.Search, chosen: placing.Standing, now: int
 ) -> list[effects.Effect]:
     """Defer a new flow while all upstreams are overloaded, and query the sidecars again.
 
@@ -106,7 +116,7 @@
 
 
 def turn_away(
-    known: state.State, found: search.Search, chosen: placing.Standing, now: int
+    known: balancer_state.State, found: flow_search.Search, chosen: placing.Standing, now: int
 ) -> list[effects.Effect]:
     """Reset a new flow because all upstreams are in slow start and at their limits of new flows."""
     known.end(found)
@@ -117,8 +127,8 @@
 
 
 def place(
-    known: state.State,
-    found: search.Search,
+    known: balancer_state.State,
+    found: flow_search.Search,
     upstream: fleet.Upstream,
     now: int,
     chosen: placing.Standing | None = None,
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -3,18 +3,18 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import (
     asking,
+    balancer_state,
     batches,
     effects,
     fleet,
+    flow_search,
     messages,
     packet,
-    search,
-    state,
 )
 
 
 def probe(
-    known: state.State, found: search.Search, unknown: list[fleet.Upstream], now: int
+    known: balancer_state.State, found: flow_search.Search, unknown: list[fleet.Upstream], now: int
 ) -> list[effects.Effect] | None:
     """Probe upstreams whose sidecars started too recently to know their flows.
 
@@ -30,14 +30,14 @@
     regions = known.current.routes.regions_of(found.flow)
     unknown = [u for u in unknown if known.fleet.within(u.zone, regions)]
     if not found.probed:
-        unknown = unknown[: search.FIRST_WAVE]
+        unknown = unknown[: flow_search.FIRST_WAVE]
     elif not known.view_confirmed(now):
-        unknown = unknown[: max(0, search.PROBED_EARLY - len(found.probed))]
+        unknown = unknown[: max(0, flow_search.PROBED_EARLY - len(found.probed))]
     if known.missing(found):
-        unknown = unknown[: max(0, search.PROBED_BLIND - len(found.probed))]
+        unknown = unknown[: max(0, flow_search.PROBED_BLIND - len(found.probed))]
     if not unknown:
         return None
-    if len(unknown) > search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:
+    if len(unknown) > flow_search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:
         return probe_many(known, found, unknown, now)
     if not known.fanout.take(len(unknown), now):
         return asking.wait_for_room(known, found, len(unknown), now)
@@ -49,12 +49,15 @@
 
 
 def note_probed(
-    known: state.State, found: search.Search, upstreams: list[fleet.Upstream], now: int
+    known: balancer_state.State,
+    found: flow_search.Search,
+    upstreams: list[fleet.Upstream],
+    now: int,
 ) -> effects.Effect:
     """Record that the upstreams are probed now, and schedule the end of the wait for answers."""
     found.probed.update(u.address for u in upstreams)
     found.asked_at = now
-    found.give_up_at = now + search.PROBE_MS
+    found.give_up_at = now + flow_search.PROBE_MS
     known.wait(found, known.patience(found))
     return effects.trace(
         "probed",
@@ -65,7 +68,10 @@
 
 
 def probe_many(
-    known: state.State, found: search.Search, upstreams: list[fleet.Upstream], now: int
+    known: balancer_state.State,
+    found: flow_search.Search,
+    upstreams: list[fleet.Upstream],
+    now: int,
 ) -> list[effects.Effect]:
     """Add the search to the batch of probes, or end it if it has waited too long."""
     if now >= found.started_at + asking.PATIENCE_MS:
@@ -76,7 +82,7 @@
     return []
 
 
-def send_probes(known: state.State, now: int) -> list[effects.Effect]:
+def send_probes(known: balancer_state.State, now: int) -> list[effects.Effect]:
     """Send the next batch of probes, with those for the same upstream in common messages."""
     flows, wanted = known.probes.next_flows()
     if not known.fanout.take(wanted, now):
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ebonystile.core.carrying import announcing, effects, messages, packet, state
+from ebonystile.core.carrying import announcing, balancer_state, effects, messages, packet
 from ebonystile.peer import carrying
 from tests.carrying import world
 
@@ -175,7 +175,7 @@
         scene.balancers[1].core.started_at = scene.now + 10 * SECOND
         scene.balancers[1].core.confirmation.started_at = scene.now + 10 * SECOND
     scene.ask(caller, b"again")
-    scene.run(state.VIEW_AGE_MS - 50)
+    scene.run(balancer_state.VIEW_AGE_MS - 50)
     assert caller.resets == 0
     scene.run(200)
     assert caller.resets == 1
@@ -309,7 +309,7 @@
 def test_few_flows_wait_for_a_sure_view():
     scene = world.World(balancers=1)
     core = scene.balancers[0].core
-    for number in range(state.MAX_PENDING + 10):
+    for number in range(balancer_state.MAX_PENDING + 10):
         flow = packet.end_of("100.64.0.7", number + 1) + packet.end_of(*world.ROUTE)
         core.keep_pending(packet.Packet(flow, b"", 0, 0, 0))
-    assert len(core.pending) == state.MAX_PENDING
+    assert len(core.pending) == balancer_state.MAX_PENDING
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -1,13 +1,13 @@
 """What callers get after a loss of power of everything, and what it costs to tell them."""
 
 from ebonystile.core.carrying import (
+    balancer_state,
     finding,
     fleet,
+    flow_search,
     messages,
     placing,
-    search,
     sidecar,
-    state,
 )
 from tests.carrying import world
 
@@ -143,9 +143,9 @@
     scene.sent.clear()
     scene.ask(caller, b"again")
     scene.run(150)
-    assert len(messages_of(scene, messages.Probe)) <= search.PROBED_EARLY
+    assert len(messages_of(scene, messages.Probe)) <= flow_search.PROBED_EARLY
     assert caller.resets == 0
-    scene.run(state.VIEW_AGE_MS + 500)
+    scene.run(balancer_state.VIEW_AGE_MS + 500)
     assert len(messages_of(scene, messages.Probe)) >= 59
     assert caller.resets == 1
 
@@ -300,7 +300,7 @@
     known = scene.balancers[0].core.fleet.of("s")
     slow = placing.order(caller.flow, known, "a")[0].address
     scene.delays = lambda step, origin, target: [
-        search.WAVE_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
+        flow_search.WAVE_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
     ]
     scene.ask(caller, b"again")
     scene.run(120)
@@ -324,7 +324,7 @@
     node.core.revision = 7
     view_begins(scene)
     scene.ask(caller, b"again")
-    scene.run(state.VIEW_AGE_MS + 100)
+    scene.run(balancer_state.VIEW_AGE_MS + 100)
     assert caller.resets == 0
     node.core.revision = 8
     scene.run(200)
@@ -344,7 +344,7 @@
         scene.ask(caller, b"x" * 1_150)
     scene.run(500)
     probes = messages_of(scene, messages.ProbeMany)
-    assert probes and len(probes) <= state.FANOUT_BURST + state.FANOUT_PER_S // 2
+    assert probes and len(probes) <= balancer_state.FANOUT_BURST + balancer_state.FANOUT_PER_S // 2
     scene.run(5 * SECOND)
     assert all(caller.resets == 1 for caller in callers)
 
@@ -380,7 +380,7 @@
         scene.ask(caller, b"again")
     scene.run(150)
     assert all(caller.resets == 1 for caller in callers)
-    assert len(messages_of(scene, messages.Ask)) <= 12 * search.FIRST_WAVE
+    assert len(messages_of(scene, messages.Ask)) <= 12 * flow_search.FIRST_WAVE
 
 
 def test_a_flow_that_was_found_again_is_asked_for_twice_once_more():
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -1,6 +1,6 @@
 """What callers get when processes of the system and upstreams come, go, fall silent or restart."""
 
-from ebonystile.core.carrying import fleet, messages, packet, placing, routes, search
+from ebonystile.core.carrying import fleet, flow_search, messages, packet, placing, routes
 from tests.carrying import world
 
 SECOND = 1_000
@@ -587,7 +587,7 @@
     scene = world.World(zones=("a",), upstreams=30, balancers=2)
     flow = packet.end_of("100.64.0.7", 40_001) + packet.end_of(*world.ROUTE)
     known = scene.balancers[0].core.fleet.of("s")
-    first = [u.address for u in placing.order(flow, known, "a")[: search.FIRST_WAVE]]
+    first = [u.address for u in placing.order(flow, known, "a")[: flow_search.FIRST_WAVE]]
     for address in first:
         scene.entry(scene.nodes[address], leaving=True)
     scene.known()
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -6,13 +6,13 @@
 
 from ebonystile.core.carrying import (
     balancer,
+    balancer_state,
     effects,
     fleet,
     messages,
     packet,
     routes,
     sidecar,
-    state,
 )
 from ebonystile.platform import packets
 from standins import ends
@@ -112,7 +112,7 @@
             for name in set(node.core.fleet.upstreams) - {u.name for u in listed}:
                 node.core.fleet.remove(name, self.now)
             if isinstance(node.core, balancer.Balancer):
-                node.core.set_fresh(True, self.now - state.VIEW_AGE_MS - 1)
+                node.core.set_fresh(True, self.now - balancer_state.VIEW_AGE_MS - 1)
             else:
                 node.core.view_fresh = True
                 node.core.view_changed(self.now)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -438,7 +438,7 @@
     Mutation(
         "few upstreams probed blindly",
         CORE + "carrying/probing.py",
-        "unknown = unknown[: max(0, search.PROBED_BLIND - len(found.probed))]",
+        "unknown = unknown[: max(0, flow_search.PROBED_BLIND - len(found.probed))]",
         "pass",
     ),
     Mutation(
@@ -461,8 +461,8 @@
     ),
     Mutation(
         "sidecars that are gone are not waited for",
-        CORE + "carrying/state.py",
-        "return min(found.give_up_at, found.asked_at + search.UNLISTED_MS)",
+        CORE + "carrying/balancer_state.py",
+        "return min(found.give_up_at, found.asked_at + flow_search.UNLISTED_MS)",
         "return found.give_up_at",
     ),
     Mutation(
@@ -473,7 +473,7 @@
     ),
     Mutation(
         "own placings count",
-        CORE + "carrying/state.py",
+        CORE + "carrying/balancer_state.py",
         "self.placed.append((now, upstream.address))",
         "pass",
     ),
@@ -491,7 +491,7 @@
     ),
     Mutation(
         "no reset by an old view",
-        CORE + "carrying/state.py",
+        CORE + "carrying/balancer_state.py",
         "return self.confirmation.confirmed or now - self.view_since >= VIEW_AGE_MS",
         "return True",
     ),
@@ -564,7 +564,7 @@
     ),
     Mutation(
         "finding forgets that a flow was nowhere",
-        CORE + "carrying/state.py",
+        CORE + "carrying/balancer_state.py",
         "        self.missing_since.pop(flow, None)\n",
         "",
     ),
@@ -601,7 +601,7 @@
     Mutation(
         "probes share messages",
         CORE + "carrying/probing.py",
-        "if len(unknown) > search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:",
+        "if len(unknown) > flow_search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:",
         "if False:",
     ),
     Mutation(
