--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -40,10 +40,10 @@
 a few requests varies by chance."""
 
 LEAST_GOOD = 0.1
-"""Lower bound of the success ratio, which keeps the cost finite."""
+"""Lower bound of the success rate, which keeps the cost finite."""
 
 CALM_GOOD = 0.9
-"""Relative success ratio from which an upstream counts as healthy."""
+"""Relative success rate from which an upstream counts as healthy."""
 
 
 OVERLOADED = 4
@@ -137,7 +137,7 @@
 
 
 def goodness(load: messages.Load, best_good: float) -> float:
-    """Return the success ratio relative to the best of the upstreams compared."""
+    """Return the success rate relative to the best of the upstreams compared."""
     return max(LEAST_GOOD, load.success_rate) / max(LEAST_GOOD, best_good)
 
 
