--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -210,7 +210,7 @@
     effects.ToUpstream: lambda effect, shell: shell.to_upstream(effect.raw),
     effects.ToCaller: lambda effect, shell: shell.to_caller(effect.packet.raw, effect.packet.flow),
     effects.Reset: do_reset,
-    effects.ReadAgain: lambda effect, shell: shell.feed.hurry(effect.version),
+    effects.Reread: lambda effect, shell: shell.feed.hurry(effect.version),
     effects.ReadFrom: lambda effect, shell: shell.feed.offer(effect.address),
     effects.Trace: do_trace,
 }
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -272,7 +272,7 @@
 
 @act.register
 def _(message: messages.Answer, balancer, received, source, now):
-    todo = effects.read_again(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.current.routes.version)
     found = balancer.searches.get(message.flow)
     if found is None:
         return todo
@@ -309,7 +309,7 @@
 
 @act.register
 def _(message: messages.AnswerMany, balancer, received, source, now):
-    todo = effects.read_again(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.current.routes.version)
     answers = {
         holding: messages.Answer(NO_FLOW, message.version, holding, message.load, message.revision)
         for holding in messages.FlowStatus
@@ -327,7 +327,7 @@
 
 @act.register
 def _(message: messages.Return, balancer, received, source, now):
-    todo = effects.read_again(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.current.routes.version)
     home = balancer.homes.get(received.flow)
     if home is not None and home.upstream.address == source:
         del balancer.homes[received.flow]
--- a/src/ebonystile/core/carrying/effects.py
+++ b/src/ebonystile/core/carrying/effects.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ReadAgain:
+class Reread:
     """Read the store again: another process has the newer configuration `version`."""
 
     version: int
@@ -59,7 +59,7 @@
     fields: tuple[tuple[str, typing.Any], ...]
 
 
-Effect = Send | ToUpstream | ToCaller | Reset | ReadAgain | ReadFrom | Trace
+Effect = Send | ToUpstream | ToCaller | Reset | Reread | ReadFrom | Trace
 
 
 def trace(event: str, **fields: typing.Any) -> Trace:
@@ -67,6 +67,6 @@
     return Trace(event, tuple(fields.items()))
 
 
-def read_again(version: int, known: int) -> list[Effect]:
+def make_reread(version: int, known: int) -> list[Effect]:
     """Return the effect of reading the store again if a peer's `version` is newer than `known`."""
-    return [ReadAgain(version)] if version > known else []
+    return [Reread(version)] if version > known else []
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -150,7 +150,7 @@
             **inputs_of(chosen),
             asked=len(found.asked),
             answered=len(found.answers),
-            copy=found.packets[-1].copy,
+            copy=found.packets[-1].copy_number,
             version=version,
             searched_ms=now - found.started_at,
         ),
--- a/src/ebonystile/core/carrying/packet.py
+++ b/src/ebonystile/core/carrying/packet.py
@@ -35,7 +35,7 @@
     returned: bool = False
 
     @property
-    def copy(self) -> int:
+    def copy_number(self) -> int:
         """Return how often the caller has sent this opening packet before, 0 for other packets."""
         return self.acknowledged if self.opens else 0
 
--- a/src/ebonystile/core/carrying/routes.py
+++ b/src/ebonystile/core/carrying/routes.py
@@ -50,7 +50,7 @@
     version: int
     by_end: dict[bytes, Route]
     idle: int
-    warm_ups: typing.Mapping[str, warming.WarmUp] = dataclasses.field(default_factory=dict)
+    warm_ups: typing.Mapping[str, warming.SlowStart] = dataclasses.field(default_factory=dict)
 
     def find(self, flow: packet.Flow) -> Route | None:
         """Return the route of the flow, or None if there is none."""
@@ -61,9 +61,9 @@
         route = self.find(flow)
         return route.regions if route is not None else ()
 
-    def warm_up_of(self, service: str) -> warming.WarmUp:
+    def warm_up_of(self, service: str) -> warming.SlowStart:
         """Return the slow start of the upstreams of a service."""
-        return self.warm_ups.get(service, warming.UNBOUNDED)
+        return self.warm_ups.get(service, warming.NO_SLOW_START)
 
 
 DEFAULT_IDLE = 15_000
@@ -76,7 +76,7 @@
     version: int,
     routes: typing.Iterable[tuple[str, int, Route]],
     idle: int,
-    warm_ups: typing.Mapping[str, warming.WarmUp] | None = None,
+    warm_ups: typing.Mapping[str, warming.SlowStart] | None = None,
 ) -> Routes:
     """Return the routes of a version from their addresses and ports."""
     by_end = {packet.end_of(host, port): route for host, port, route in routes}
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -68,7 +68,7 @@
         self.current = routes.Current()
         self.fleet = fleet.Fleet()
         self.table = table.FlowTable()
-        self.warming = warming.Warming()
+        self.slow_start = warming.SlowStartTracker()
         self.absent: dict[packet.Flow, int] = {}
         self.probed: dict[packet.Flow, Probed] = {}
         self.leaving = False
@@ -187,8 +187,8 @@
     def room(self, now: int) -> bool:
         """Return whether the limit for cold upstreams admits one more new flow."""
         own = self.own
-        warm_up = self.current.routes.warm_up_of(self.service)
-        return self.warming.room(warm_up, own.warm_at if own else None, now)
+        slow_start = self.current.routes.warm_up_of(self.service)
+        return self.slow_start.has_capacity(slow_start, own.warm_at if own else None, now)
 
     def refusal(self) -> messages.Reason | None:
         """Return why the upstream accepts no new flows, or None if it does."""
@@ -305,7 +305,7 @@
         """Handle a packet that the upstream sent or returned."""
         if self.unanswered_since is not None and now - self.unanswered_since >= SILENT_MS:
             # It may have crashed and restarted, cold, before its entry shows the new start.
-            self.warming.note_restart(now)
+            self.slow_start.record_restart(now)
         self.unanswered_since = None
         self.probed_since = None
         self.heard_at = now
@@ -341,7 +341,7 @@
             # The upstream has restarted or dropped the flow. Without a reset the caller would
             # retransmit until its timeout.
             self.table.forget(sent.flow)
-            self.warming.note_restart(now)
+            self.slow_start.record_restart(now)
             age = now - record.opened_at
             return [
                 effects.trace("flow_lost", flow=packet.flow_text(sent.flow), opened_ms_ago=age),
@@ -376,7 +376,7 @@
     answered = sidecar.answer(message.flow, message.acknowledged, now)
     return [
         effects.Send(source, answered),
-        *effects.read_again(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.current.routes.version),
     ]
 
 
@@ -388,7 +388,7 @@
     answered = messages.AnswerMany(message.number, version, holdings, load, sidecar.revision)
     return [
         effects.Send(source, answered),
-        *effects.read_again(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.current.routes.version),
     ]
 
 
@@ -399,17 +399,17 @@
         return [
             effects.trace("open_refused", flow=packet.flow_text(received.flow), reason=reason.name),
             effects.Send(source, sidecar.returned(reason, received.raw)),
-            *effects.read_again(message.version, sidecar.current.routes.version),
+            *effects.make_reread(message.version, sidecar.current.routes.version),
         ]
     sidecar.table.open(received.flow, source, now).source = source
-    sidecar.warming.note_opened(now)
+    sidecar.slow_start.record_opened(now)
     if sidecar.unanswered_since is None:
         sidecar.unanswered_since = now
     if now - sidecar.tried_at >= RETRY_MS:
         sidecar.tried_at = now
     return [
         effects.ToUpstream(received.raw),
-        *effects.read_again(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.current.routes.version),
     ]
 
 
--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -36,14 +36,14 @@
 
 LISTED, RELAYS = 1, 2
 
-MOST_LISTENING = (1 << 32) - 1
+MAX_LISTENED_MS = (1 << 32) - 1
 
-ACCEPTING, SILENT, SATURATED, FULL = 1, 2, 4, 8
+ACCEPTING, UNRESPONSIVE, SATURATED, FULL = 1, 2, 4, 8
 
-MOST = (1 << 16) - 1
+MAX_UINT16 = (1 << 16) - 1
 """Largest number that a field of two bytes holds."""
 
-GOOD_SCALE = 255
+SUCCESS_RATE_SCALE = 255
 """The value of a one-byte field that stands for a success rate of 1."""
 
 
@@ -96,29 +96,31 @@
 def fields_of(load: messages.Load) -> tuple[int, int, int, int, int, int]:
     """Return the fields that encode a load at the end of an answer."""
     return (
-        min(load.running, MOST),
+        min(load.running, MAX_UINT16),
         load.flows,
-        min(load.slots, MOST),
-        min(load.latency, MOST),
-        round(load.success_rate * GOOD_SCALE),
-        marks_of(load),
+        min(load.slots, MAX_UINT16),
+        min(load.latency, MAX_UINT16),
+        round(load.success_rate * SUCCESS_RATE_SCALE),
+        flags_of(load),
     )
 
 
-def marks_of(load: messages.Load) -> int:
+def flags_of(load: messages.Load) -> int:
     """Return the bit flags of a load."""
-    marks = ACCEPTING * load.accepting | SILENT * load.unresponsive
-    return marks | SATURATED * load.saturated | FULL * load.full
+    flags = ACCEPTING * load.accepting | UNRESPONSIVE * load.unresponsive
+    return flags | SATURATED * load.saturated | FULL * load.full
 
 
 def load_of(
-    running: int, flows: int, slots: int, latency: int, good: int, marks: int
+    running: int, flows: int, slots: int, latency: int, scaled_rate: int, flags: int
 ) -> messages.Load:
     """Return the load decoded from the last fields of an answer."""
-    accepting, silent = bool(marks & ACCEPTING), bool(marks & SILENT)
-    saturated, full = bool(marks & SATURATED), bool(marks & FULL)
-    share = good / GOOD_SCALE
-    return messages.Load(running, flows, slots, latency, share, accepting, silent, saturated, full)
+    accepting, unresponsive = bool(flags & ACCEPTING), bool(flags & UNRESPONSIVE)
+    saturated, full = bool(flags & SATURATED), bool(flags & FULL)
+    success_rate = scaled_rate / SUCCESS_RATE_SCALE
+    return messages.Load(
+        running, flows, slots, latency, success_rate, accepting, unresponsive, saturated, full
+    )
 
 
 @pack.register
@@ -154,12 +156,12 @@
 
 @pack.register
 def _(message: messages.AnswerUnlisted):
-    listening = min(message.listened_ms, MOST_LISTENING)
-    head = ANSWER_UNLISTED.pack(ANSWER_UNLISTED_TYPE, listening, len(message.sidecars))
-    return head + b"".join(map(unlisted_bytes, message.sidecars))
+    listened_ms = min(message.listened_ms, MAX_LISTENED_MS)
+    head = ANSWER_UNLISTED.pack(ANSWER_UNLISTED_TYPE, listened_ms, len(message.sidecars))
+    return head + b"".join(map(pack_unlisted, message.sidecars))
 
 
-def unlisted_bytes(address: view.Address) -> bytes:
+def pack_unlisted(address: view.Address) -> bytes:
     """Return the encoded address of one sidecar."""
     host, port = address
     return UNLISTED.pack(socket.inet_aton(host), port)
@@ -168,7 +170,7 @@
 def unpack(data: bytes) -> messages.Message:
     """Return the message in a datagram; raise `DatagramError` if it is malformed."""
     try:
-        return READERS[data[0]](data)
+        return DECODERS[data[0]](data)
     except (IndexError, KeyError, struct.error, ValueError) as error:
         raise errors.DatagramError(repr(error), step="read datagram", peer="peer") from error
 
@@ -181,8 +183,8 @@
 
 def read_answer(data: bytes) -> messages.Answer:
     """Return the `Answer` message in the datagram."""
-    _, flow, version, revision, holding, *load = ANSWER.unpack(data)
-    return messages.Answer(flow, version, messages.FlowStatus(holding), load_of(*load), revision)
+    _, flow, version, revision, status, *load = ANSWER.unpack(data)
+    return messages.Answer(flow, version, messages.FlowStatus(status), load_of(*load), revision)
 
 
 def read_ask_many(data: bytes) -> messages.AskMany:
@@ -195,8 +197,8 @@
 def read_answer_many(data: bytes) -> messages.AnswerMany:
     """Return the `AnswerMany` message in the datagram."""
     _, number, version, revision, *load = ANSWER_MANY.unpack_from(data)
-    holdings = tuple(HOLDINGS[byte] for byte in data[ANSWER_MANY.size :])
-    return messages.AnswerMany(number, version, holdings, load_of(*load), revision)
+    statuses = tuple(FLOW_STATUSES[byte] for byte in data[ANSWER_MANY.size :])
+    return messages.AnswerMany(number, version, statuses, load_of(*load), revision)
 
 
 def read_open(data: bytes) -> messages.Open:
@@ -227,23 +229,23 @@
 
 def read_announce(data: bytes) -> messages.Announce:
     """Return the `Announce` message in the datagram."""
-    _, marks = ANNOUNCE.unpack(data)
-    return messages.Announce(bool(marks & LISTED), bool(marks & RELAYS))
+    _, flags = ANNOUNCE.unpack(data)
+    return messages.Announce(bool(flags & LISTED), bool(flags & RELAYS))
 
 
 def read_answer_unlisted(data: bytes) -> messages.AnswerUnlisted:
     """Return the `AnswerUnlisted` message in the datagram; raise `ValueError` if truncated."""
-    _, listening, count = ANSWER_UNLISTED.unpack_from(data)
+    _, listened_ms, count = ANSWER_UNLISTED.unpack_from(data)
     packed = data[ANSWER_UNLISTED.size :]
     if len(packed) != count * UNLISTED.size:
         raise ValueError("truncated list of sidecars")
     sidecars = tuple((socket.inet_ntoa(h), port) for h, port in UNLISTED.iter_unpack(packed))
-    return messages.AnswerUnlisted(listening, sidecars)
+    return messages.AnswerUnlisted(listened_ms, sidecars)
 
 
-HOLDINGS = tuple(messages.FlowStatus)
+FLOW_STATUSES = tuple(messages.FlowStatus)
 
-READERS: dict[int, typing.Callable[[bytes], messages.Message]] = {
+DECODERS: dict[int, typing.Callable[[bytes], messages.Message]] = {
     ASK_TYPE: read_ask,
     ANSWER_TYPE: read_answer,
     OPEN_TYPE: read_open,
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -171,9 +171,9 @@
     )
 
 
-def warm_up_of(body: ServiceBody) -> warming.WarmUp:
+def warm_up_of(body: ServiceBody) -> warming.SlowStart:
     """Return how the upstreams of a service start."""
-    return warming.WarmUp(int(body.warmup_s * 1_000), body.warmup_per_s)
+    return warming.SlowStart(int(body.warmup_s * 1_000), body.warmup_per_s)
 
 
 def route_of(body: RouteBody) -> tuple[str, int, routes.Route]:
--- a/tests/carrying/test_datagrams.py
+++ b/tests/carrying/test_datagrams.py
@@ -84,7 +84,7 @@
     load = messages.Load(running=1 << 20, slots=1 << 20, latency=1 << 20)
     sent = messages.Answer(bytes(12), 1, messages.FlowStatus.HELD, load)
     back = carrying.unpack(carrying.pack(sent)).load
-    assert back.running == back.slots == back.latency == carrying.MOST
+    assert back.running == back.slots == back.latency == carrying.MAX_UINT16
 
 
 def test_a_cut_off_list_of_sidecars_is_refused():
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -7,7 +7,7 @@
 
 PER_SECOND = 4
 LENGTH = 2_000
-BOUNDED = warming.WarmUp(LENGTH, PER_SECOND)
+BOUNDED = warming.SlowStart(LENGTH, PER_SECOND)
 
 
 def bound(scene, warm_up=BOUNDED):
@@ -89,7 +89,7 @@
 
 def test_a_service_without_a_bound_fills_its_cold_upstreams():
     scene = world.World()
-    bound(scene, warming.WarmUp(LENGTH))
+    bound(scene, warming.SlowStart(LENGTH))
     cool(scene, *scene.sidecars)
     callers = come(scene, 40, 400)
     scene.run(100)
@@ -113,23 +113,23 @@
 
 
 def test_an_upstream_without_an_entry_counts_as_cold():
-    made = warming.Warming()
+    made = warming.SlowStartTracker()
     for at in range(PER_SECOND):
-        assert made.room(BOUNDED, None, 1_000 + at)
-        made.note_opened(1_000 + at)
-    assert not made.room(BOUNDED, None, 2_000)
-    assert made.room(BOUNDED, 0, 2_000)
-    assert made.room(BOUNDED, None, 2_001)
+        assert made.has_capacity(BOUNDED, None, 1_000 + at)
+        made.record_opened(1_000 + at)
+    assert not made.has_capacity(BOUNDED, None, 2_000)
+    assert made.has_capacity(BOUNDED, 0, 2_000)
+    assert made.has_capacity(BOUNDED, None, 2_001)
 
 
 @pytest.mark.parametrize("start", range(0, 1_000, 137))
 def test_the_bound_holds_for_every_span_of_a_second(start):
     """Fixed seconds would let twice the flows through around their edge."""
-    made = warming.Warming()
+    made = warming.SlowStartTracker()
     opened = []
     for now in range(start, start + 5_000, 20):
-        if made.room(BOUNDED, now + 1, now):
-            made.note_opened(now)
+        if made.has_capacity(BOUNDED, now + 1, now):
+            made.record_opened(now)
             opened.append(now)
     assert max(sum(at <= t <= at + 1_000 for t in opened) for at in opened) <= PER_SECOND
     assert len(opened) > 4 * PER_SECOND
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -675,20 +675,20 @@
     Mutation(
         "the span of a second slides",
         CORE + "carrying/warming.py",
-        "now - self.opened[0] > SECOND_MS:",
-        "now // SECOND_MS != self.opened[0] // SECOND_MS:",
+        "now - self.opened[0] > WINDOW_MS:",
+        "now // WINDOW_MS != self.opened[0] // WINDOW_MS:",
     ),
     Mutation(
         "an upstream that lost a flow is cold",
         CORE + "carrying/sidecar.py",
-        "            self.warming.note_restart(now)\n            age =",
+        "            self.slow_start.record_restart(now)\n            age =",
         "            age =",
     ),
     Mutation(
         "an upstream without an entry is cold",
         CORE + "carrying/warming.py",
-        "if warm_at is None or now < warm_at:",
-        "if warm_at is not None and now < warm_at:",
+        "if slow_start_until is None or now < slow_start_until:",
+        "if slow_start_until is not None and now < slow_start_until:",
     ),
     Mutation(
         "a full upstream is chosen last",
