--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -48,7 +48,7 @@
 class Node:
     """One core, and what the loop knows of it: its group is its side of a partition."""
 
-    core: gossip_state.Spread
+    core: gossip_state.GossipState
     group: int = 0
     alive: bool = True
     paused_until: int = 0
@@ -105,7 +105,7 @@
         number = len(self.nodes) + 1
         address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7000)
         addresses = tuple(self.names[seed].core.membership.own.address for seed in seeds)
-        core = gossip.make_spread(
+        core = gossip.make_state(
             name,
             role,
             address,
@@ -189,10 +189,10 @@
                 self.call(node, effect)
             case gossip_state.Fetch():
                 self.fetch(node, effect)
-            case gossip_state.InForce():
+            case gossip_state.ViewInForce():
                 self.note(node, may_act=True)
                 node.in_force_at.setdefault(node.core.configuration.digest.values, self.now)
-            case gossip_state.FellBehind():
+            case gossip_state.ViewStale():
                 self.note(node, may_act=False)
             case _:
                 node.traces.append(effect)
@@ -236,16 +236,16 @@
     def fetch(self, node: Node, effect: gossip_state.Fetch) -> None:
         """Answer a pull over a websocket, or let it fail."""
         peer = self.nodes.get(effect.address)
-        usable = peer is not None and peer.alive and peer.group == node.group
-        if not usable or peer.paused_until > self.now:
+        is_usable = peer is not None and peer.alive and peer.group == node.group
+        if not is_usable or peer.paused_until > self.now:
             self.at(self.now + 1000, self.post, node, gossip.FetchFailed(effect.pull.nonce))
             return
         begin = time.perf_counter_ns()
-        prepared = pulling.prepare(peer.core, effect.pull, self.now)
+        prepared = pulling.prepare_answer(peer.core, effect.pull, self.now)
         if isinstance(prepared, control.Busy):
             fetched = gossip.Fetched(prepared)
         else:
-            fetched = self.unpack(peer, node, pulling.finish(prepared))
+            fetched = self.unpack(peer, node, pulling.pack_answer(prepared))
         peer.busy_ns += time.perf_counter_ns() - begin
         self.at(self.now + 2 * self.delay[1], self.post, node, fetched)
 
--- a/src/ebonystile/core/control/assembly.py
+++ b/src/ebonystile/core/control/assembly.py
@@ -14,9 +14,9 @@
 Pair = tuple[str, str]
 """A label's key and value."""
 
-LABEL_LEAVING: Pair = ("leaving", "true")
+LEAVING_LABEL: Pair = ("leaving", "true")
 
-POOL_LIMIT = 65_536
+MAX_POOL_TUPLES = 65_536
 """Most tuples that wait to be shared; beyond it the pool starts anew, which costs only memory."""
 
 
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         self.values: dict[str, typing.Any] = {}
         self.sources: dict[str, str] = {}
-        self.losers: dict[str, dict[str, typing.Any]] = {}
+        self.shadowed: dict[str, dict[str, typing.Any]] = {}
         self.names: dict[str, tuple[str, ...]] = {}
 
     def replace(self, source: str, values: dict[str, typing.Any]) -> list[str]:
@@ -66,15 +66,15 @@
         changed = []
         former = self.names.pop(source, ())
         for name in {*former, *values}:
-            if self.claim(name, source, values.get(name)):
+            if self.set_claim(name, source, values.get(name)):
                 changed.append(name)
         if values:
             self.names[source] = tuple(values)
         return sorted(changed)
 
-    def claim(self, name: str, source: str, value: typing.Any) -> bool:
+    def set_claim(self, name: str, source: str, value: typing.Any) -> bool:
         """Set or, with None, withdraw one claim; tell whether the name's value changed."""
-        claims = self.losers.pop(name, {})
+        claims = self.shadowed.pop(name, {})
         before = self.values.pop(name, None)
         if before is not None:
             claims[self.sources.pop(name)] = before
@@ -87,7 +87,7 @@
         self.values[name] = claims.pop(winner)
         self.sources[name] = winner
         if claims:
-            self.losers[name] = claims
+            self.shadowed[name] = claims
         return self.values[name] != before
 
     def conflicts(self) -> list[str]:
@@ -95,7 +95,7 @@
         return [
             f"{name}: in {self.sources[name]} and {', '.join(sorted(claims))};"
             f" {self.sources[name]} holds"
-            for name, claims in sorted(self.losers.items())
+            for name, claims in sorted(self.shadowed.items())
         ]
 
 
@@ -106,28 +106,28 @@
         self.specs = Claims()
         self.labels = Claims()
         self.instances: dict[str, Instance] = {}
-        self.serving: dict[str, tuple[str, ...]] = {}
-        self.anchors: dict[Pair, tuple[str, ...]] = {}
-        self.uses: collections.Counter[Pair] = collections.Counter()
-        self.anchored: dict[str, tuple[Spec, tuple[Pair, ...]]] = {}
+        self.services_by_instance: dict[str, tuple[str, ...]] = {}
+        self.services_by_label: dict[Pair, tuple[str, ...]] = {}
+        self.label_uses: collections.Counter[Pair] = collections.Counter()
+        self.index_entries: dict[str, tuple[Spec, tuple[Pair, ...]]] = {}
         self.pool: dict[typing.Any, typing.Any] = {}
-        self.touched_services: set[str] = set()
-        self.touched_instances: set[str] = set()
+        self.changed_services: set[str] = set()
+        self.changed_instances: set[str] = set()
         self.view = view.EMPTY
 
     def put_services(self, source: str, specs: dict[str, Spec]) -> None:
         """Put a document of services in the place of its former content."""
         for name in self.specs.replace(source, specs):
-            self.drop_anchor(name)
+            self.unindex_service(name)
             spec = self.specs.values.get(name)
             if spec is not None:
-                self.add_anchor(name, spec)
-            self.touched_services.add(name)
+                self.index_service(name, spec)
+            self.changed_services.add(name)
 
     def put_labels(self, source: str, labels: dict[str, dict[str, str]]) -> None:
         """Put a document of labels in the place of its former content."""
-        packed = {sys.intern(name): self.pack(pairs) for name, pairs in labels.items()}
-        self.touched_instances.update(self.labels.replace(source, packed))
+        packed = {sys.intern(name): self.pack_labels(pairs) for name, pairs in labels.items()}
+        self.changed_instances.update(self.labels.replace(source, packed))
 
     def put_instance(self, name: str, instance: Instance | None) -> None:
         """Set what is known of an instance, or with None forget it."""
@@ -137,46 +137,48 @@
             del self.instances[name]
         else:
             self.instances[name] = instance
-        self.touched_instances.add(name)
+        self.changed_instances.add(name)
 
-    def pack(self, labels: dict[str, str]) -> tuple[Pair, ...]:
+    def pack_labels(self, labels: dict[str, str]) -> tuple[Pair, ...]:
         """Return labels as a sorted tuple, one object for all instances that have the same."""
-        pairs = tuple(self.share((sys.intern(k), sys.intern(v))) for k, v in sorted(labels.items()))
-        return self.share(pairs)
+        pairs = tuple(
+            self.intern_tuple((sys.intern(k), sys.intern(v))) for k, v in sorted(labels.items())
+        )
+        return self.intern_tuple(pairs)
 
-    def share(self, item: tuple[typing.Any, ...]) -> tuple[typing.Any, ...]:
+    def intern_tuple(self, item: tuple[typing.Any, ...]) -> tuple[typing.Any, ...]:
         """Return an equal tuple that is in use already, if there is one, to save its memory."""
-        if len(self.pool) >= POOL_LIMIT:
+        if len(self.pool) >= MAX_POOL_TUPLES:
             self.pool.clear()
         return self.pool.setdefault(item, item)
 
-    def add_anchor(self, name: str, spec: Spec) -> None:
+    def index_service(self, name: str, spec: Spec) -> None:
         """File the service under the key of its selector that the fewest services use."""
-        self.uses.update(spec.pairs())
+        self.label_uses.update(spec.pairs())
         _, key, values = min(
-            (max(self.uses[key, value] for value in values), key, values)
+            (max(self.label_uses[key, value] for value in values), key, values)
             for key, values in spec.selector
         )
         pairs = tuple((key, value) for value in values)
-        self.anchored[name] = (spec, pairs)
+        self.index_entries[name] = (spec, pairs)
         for pair in pairs:
-            self.anchors[pair] = (*self.anchors.get(pair, ()), name)
+            self.services_by_label[pair] = (*self.services_by_label.get(pair, ()), name)
 
-    def drop_anchor(self, name: str) -> None:
+    def unindex_service(self, name: str) -> None:
         """Take the service out of the file, if it is there."""
-        if name not in self.anchored:
+        if name not in self.index_entries:
             return
-        spec, pairs = self.anchored.pop(name)
+        spec, pairs = self.index_entries.pop(name)
         for pair in spec.pairs():
-            self.uses[pair] -= 1
-            if not self.uses[pair]:
-                del self.uses[pair]
+            self.label_uses[pair] -= 1
+            if not self.label_uses[pair]:
+                del self.label_uses[pair]
         for pair in pairs:
-            rest = tuple(other for other in self.anchors[pair] if other != name)
+            rest = tuple(other for other in self.services_by_label[pair] if other != name)
             if rest:
-                self.anchors[pair] = rest
+                self.services_by_label[pair] = rest
             else:
-                del self.anchors[pair]
+                del self.services_by_label[pair]
 
     def services_for(self, name: str) -> tuple[str, ...]:
         """Return the sorted names of the services whose selectors match the instance."""
@@ -184,46 +186,46 @@
         if instance is None or instance.role != "upstream":
             return ()
         labels = self.labels.values.get(name, ())
-        candidates = {s for pair in labels for s in self.anchors.get(pair, ())}
+        candidates = {s for pair in labels for s in self.services_by_label.get(pair, ())}
         names = tuple(sorted(s for s in candidates if self.specs.values[s].matches(labels)))
-        return self.share(names)
+        return self.intern_tuple(names)
 
     def endpoint_for(self, name: str) -> view.Endpoint | None:
         """Return the instance's endpoint; the label or the platform may say that it leaves."""
         instance = self.instances.get(name)
         if instance is None or instance.role != "upstream":
             return None
-        leaving = instance.leaving or LABEL_LEAVING in self.labels.values.get(name, ())
+        leaving = instance.leaving or LEAVING_LABEL in self.labels.values.get(name, ())
         return view.make_endpoint(
             instance.name, instance.address, sys.intern(instance.zone), leaving=leaving
         )
 
     def build(self, revision: int, instances_revision: int) -> view.View:
         """Return the view with every change since the last call in it."""
-        if self.touched_services:
-            self.touch_members()
+        if self.changed_services:
+            self.add_affected_instances()
         services = dict(self.view.services)
         endpoints = dict(self.view.endpoints)
         joined, left = self.refresh_endpoints(endpoints)
-        for name in self.touched_services | joined.keys() | left.keys():
+        for name in self.changed_services | joined.keys() | left.keys():
             self.refresh_service(services, name, joined.get(name, []), left.get(name, set()))
         balancers = self.view.balancers
-        if any(self.may_be_balancer(name) for name in self.touched_instances):
-            balancers = self.balancers()
-        self.touched_services.clear()
-        self.touched_instances.clear()
+        if any(self.can_affect_balancers(name) for name in self.changed_instances):
+            balancers = self.balancer_addresses()
+        self.changed_services.clear()
+        self.changed_instances.clear()
         self.view = view.View(revision, services, endpoints, balancers, instances_revision)
         return self.view
 
-    def touch_members(self) -> None:
+    def add_affected_instances(self) -> None:
         """Touch the instances whose services may differ now that selectors have changed."""
-        changed = self.touched_services & self.anchored.keys()
-        anchors = {pair for name in changed for pair in self.anchored[name][1]}
+        changed = self.changed_services & self.index_entries.keys()
+        pairs = {pair for name in changed for pair in self.index_entries[name][1]}
         for name, labels in self.labels.values.items():
-            if not anchors.isdisjoint(labels):
-                self.touched_instances.add(name)
-        for service in self.touched_services & self.view.services.keys():
-            self.touched_instances.update(u.name for u in self.view.services[service].upstreams)
+            if not pairs.isdisjoint(labels):
+                self.changed_instances.add(name)
+        for service in self.changed_services & self.view.services.keys():
+            self.changed_instances.update(u.name for u in self.view.services[service].upstreams)
 
     def refresh_endpoints(
         self, endpoints: dict[int, view.Endpoint]
@@ -231,13 +233,13 @@
         """Renew the touched endpoints; return who joins and who leaves each service."""
         joined: dict[str, list[view.Endpoint]] = collections.defaultdict(list)
         left: dict[str, set[int]] = collections.defaultdict(set)
-        for name in self.touched_instances:
+        for name in self.changed_instances:
             key = view.key_of(name)
             endpoint = self.endpoint_for(name)
-            before = self.serving.pop(name, ())
+            before = self.services_by_instance.pop(name, ())
             after = self.services_for(name)
             if after:
-                self.serving[name] = after
+                self.services_by_instance[name] = after
             if endpoint is None:
                 endpoints.pop(key, None)
             elif endpoints.get(key) != endpoint:
@@ -267,12 +269,12 @@
         upstreams = sorted([*stay, *joined], key=lambda u: u.name)
         services[name] = view.make_service(name, spec.address, upstreams)
 
-    def may_be_balancer(self, name: str) -> bool:
+    def can_affect_balancers(self, name: str) -> bool:
         """Tell whether the touched instance can change the list of balancers."""
         instance = self.instances.get(name)
         return instance is None or instance.role == "balancer"
 
-    def balancers(self) -> tuple[view.Address, ...]:
+    def balancer_addresses(self) -> tuple[view.Address, ...]:
         """Return the addresses of the balancers that stay."""
         return tuple(
             sorted(
--- a/src/ebonystile/core/control/configuration.py
+++ b/src/ebonystile/core/control/configuration.py
@@ -22,7 +22,7 @@
 MAX_FAULTS = 8
 """Faults of one document that are kept and spread; the check command shows them all."""
 
-UPDATE_BYTES = 512 << 10
+MAX_UPDATE_VALUES_BYTES = 512 << 10
 """Bytes of values after which an update ends; the asking process then asks for the rest."""
 
 
@@ -42,7 +42,7 @@
     values: int = 0
     instances: int = 0
 
-    def behind(self, other: "Digest") -> bool:
+    def is_behind(self, other: "Digest") -> bool:
         """Tell whether `other` has something that this one lacks."""
         return other.values > self.values or other.instances > self.instances
 
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class PullRequest:
     """What a configuration has, so that another can answer with just the rest.
 
     `lacking` names refused keys with the revision that is in force for them: the older value, in
@@ -136,9 +136,9 @@
         self.values = store.Store()
         self.instances = store.Store()
         self.refusals: dict[str, Refusal] = {}
-        self.said: dict[str, assembly.Instance] = {}
+        self.overrides: dict[str, assembly.Instance] = {}
         self.parts = assembly.Assembly()
-        self.stale = False
+        self.is_view_stale = False
 
     @property
     def digest(self) -> Digest:
@@ -148,8 +148,8 @@
     @property
     def view(self) -> view.View:
         """The view in force; built when something has changed since it was last asked for."""
-        if self.stale:
-            self.stale = False
+        if self.is_view_stale:
+            self.is_view_stale = False
             self.parts.build(self.values.complete, self.instances.complete)
         return self.parts.view
 
@@ -158,33 +158,37 @@
         """The refusals that stand: an accepted value of a higher revision ends one."""
         return sorted(self.refusals.values())
 
-    def wanted(self) -> Wanted:
+    def pull_request(self) -> PullRequest:
         """Return what to send with a pull."""
         lacking = []
         for key in sorted(self.refusals):
             entry = self.values.entries.get(key)
             lacking.append((key, entry.revision if entry else 0))
-        return Wanted(self.digest, tuple(lacking))
+        return PullRequest(self.digest, tuple(lacking))
 
     @property
-    def incomplete(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Tell whether a key was refused here that may be in force elsewhere at an older value."""
         return any(key not in self.values.entries for key in self.refusals)
 
-    def update_for(self, wanted: Wanted) -> Update:
+    def update_for(self, request: PullRequest) -> Update:
         """Return what the asking process lacks, or the first part of it.
 
         The list of instances comes with the last part of the values.
         """
-        values = self.values.delta(wanted.digest.values, UPDATE_BYTES)
-        values = dataclasses.replace(values, entries=values.entries + self.lacked(wanted, values))
+        values = self.values.delta(request.digest.values, MAX_UPDATE_VALUES_BYTES)
+        values = dataclasses.replace(
+            values, entries=values.entries + self.missing_entries(request, values)
+        )
         refusals = tuple(r for r in self.refused if values.after < r.revision <= values.complete)
         if values.complete < self.values.complete:
-            after = wanted.digest.instances
+            after = request.digest.instances
             return Update(values, store.Delta(after, after, 0, ()), refusals)
-        return Update(values, self.instances.delta(wanted.digest.instances), refusals)
+        return Update(values, self.instances.delta(request.digest.instances), refusals)
 
-    def lacked(self, wanted: Wanted, values: store.Delta) -> tuple[tuple[str, store.Entry], ...]:
+    def missing_entries(
+        self, request: PullRequest, values: store.Delta
+    ) -> tuple[tuple[str, store.Entry], ...]:
         """Return entries in force for keys that the asking process could not accept.
 
         All of them, or what fits one update: with one at a time, a key whose older value is of no
@@ -193,18 +197,18 @@
         named = {key for key, _ in values.entries}
         entries = [
             (key, self.values.entries[key])
-            for key, revision in wanted.lacking
+            for key, revision in request.lacking
             if key in self.values.entries
             and key not in named
             and self.values.entries[key].revision > revision
         ]
-        return tuple(entries[: store.count_within(entries, UPDATE_BYTES)])
+        return tuple(entries[: store.count_within(entries, MAX_UPDATE_VALUES_BYTES)])
 
     def apply(self, update: Update) -> Changes:
         """Take in an update of a peer."""
         keys, refusals = self.apply_values(update.values)
         for refusal in update.refusals:
-            if self.refuse(refusal):
+            if self.record_refusal(refusal):
                 refusals.append(refusal)
         names = self.apply_instances(update.instances)
         return Changes(tuple(keys), tuple(refusals), tuple(names))
@@ -214,19 +218,19 @@
         accepted = []
         refusals = []
         for key, entry in delta.entries:
-            if not self.values.wants(key, entry) and key not in self.refusals:
+            if not self.values.is_newer(key, entry) and key not in self.refusals:
                 continue
-            faults = self.place(key, entry)
+            faults = self.install_entry(key, entry)
             if not faults:
                 accepted.append((key, entry))
             else:
                 refusal = Refusal(entry.revision, key, tuple(faults[:MAX_FAULTS]))
-                if self.refuse(refusal):
+                if self.record_refusal(refusal):
                     refusals.append(refusal)
         checked = dataclasses.replace(delta, entries=tuple(accepted))
         return self.join_values(delta, checked), refusals
 
-    def place(self, key: str, entry: store.Entry) -> list[str]:
+    def install_entry(self, key: str, entry: store.Entry) -> list[str]:
         """Check an entry's value and, if it is the newest, put it into the parts of the view."""
         if entry.value is None:
             document = None
@@ -235,11 +239,11 @@
                 document = documents.parse(key, unpack_value(entry.value))
             except errors.SettingsError as error:
                 return error.faults
-        if self.values.wants(key, entry) or self.restores(key, entry):
+        if self.values.is_newer(key, entry) or self.is_restoring(key, entry):
             self.put_document(key, document)
         return []
 
-    def restores(self, key: str, entry: store.Entry) -> bool:
+    def is_restoring(self, key: str, entry: store.Entry) -> bool:
         """Tell whether an old value fills a key whose newer value was refused here."""
         return key in self.refusals and key not in self.values.entries
 
@@ -251,24 +255,24 @@
             self.put_document(key, None)
         changed = list(deleted)
         for key, entry in checked.entries:
-            if self.restores(key, entry) or self.values.wants(key, entry):
-                self.values.keep(key, entry)
+            if self.is_restoring(key, entry) or self.values.is_newer(key, entry):
+                self.values.set_entry(key, entry)
                 changed.append(key)
-                self.settle(key, entry.revision)
+                self.end_refusal(key, entry.revision)
         self.values.advance(checked)
-        self.stale = True
+        self.is_view_stale = True
         return changed
 
     def put_document(self, key: str, document: typing.Any) -> None:
         """Put a document, or its absence, into the parts of the view."""
-        self.stale = True
+        self.is_view_stale = True
         if key.startswith("services/"):
             specs = document.services if document is not None else {}
             self.parts.put_services(key, {n: make_spec(s) for n, s in specs.items()})
         else:
             self.parts.put_labels(key, document.instances if document is not None else {})
 
-    def refuse(self, refusal: Refusal) -> bool:
+    def record_refusal(self, refusal: Refusal) -> bool:
         """Keep a refusal unless a newer value or refusal of the key is known."""
         entry = self.values.entries.get(refusal.key)
         if entry is not None and entry.revision >= refusal.revision:
@@ -281,7 +285,7 @@
             del self.refusals[min(self.refusals.values()).key]
         return True
 
-    def settle(self, key: str, revision: int) -> None:
+    def end_refusal(self, key: str, revision: int) -> None:
         """End the refusal of a key once a value at or above its revision is accepted."""
         refusal = self.refusals.get(key)
         if refusal is not None and refusal.revision <= revision:
@@ -292,24 +296,24 @@
         before = self.instances.complete
         names = self.instances.join(delta)
         for name in names:
-            self.show_instance(name)
-        self.stale = self.stale or bool(names) or self.instances.complete != before
+            self.update_instance(name)
+        self.is_view_stale = self.is_view_stale or bool(names) or self.instances.complete != before
         return names
 
-    def say(self, name: str, instance: assembly.Instance | None) -> None:
+    def set_override(self, name: str, instance: assembly.Instance | None) -> None:
         """Let what an instance says of itself go before the list; None ends that."""
         if instance is None:
-            self.said.pop(name, None)
+            self.overrides.pop(name, None)
         else:
-            self.said[name] = instance
-        self.show_instance(name)
-        self.stale = True
+            self.overrides[name] = instance
+        self.update_instance(name)
+        self.is_view_stale = True
 
-    def show_instance(self, name: str) -> None:
+    def update_instance(self, name: str) -> None:
         """Put what is known of the instance into the parts of the view."""
         entry = self.instances.entries.get(name)
         listed = entry.value if entry is not None else None
-        self.parts.put_instance(name, self.said.get(name, listed))
+        self.parts.put_instance(name, self.overrides.get(name, listed))
 
     def conflicts(self) -> list[str]:
         """Return one line for each service or instance that two documents claim."""
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -1,4 +1,4 @@
-"""Distribute the configuration by gossip: `decide(spread, event, now)` returns effects.
+"""Distribute the configuration by gossip: `decide(state, event, now)` returns effects.
 
 A few watchers in each zone read the platform; all other processes learn changes from peers. Each
 message between processes carries the sender's revisions, and a process that is behind pulls from
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shown:
+class RevisionSeen:
     """A packet of the data path carried a revision above the known one."""
 
     address: view.Address
@@ -83,7 +83,7 @@
     """The process was asked to stop."""
 
 
-def make_spread(
+def make_state(
     name: str,
     role: str,
     address: view.Address,
@@ -92,9 +92,9 @@
     limits: gossip_state.Limits,
     randomness: rng.Rng,
     now: int,
-) -> gossip_state.Spread:
+) -> gossip_state.GossipState:
     """Return the state of a process that starts at `now`, with catch-up under way."""
-    spread = gossip_state.Spread(
+    state = gossip_state.GossipState(
         membership.make_membership(name, role, address, zone, now, membership.Limits()),
         configuration.Configuration(),
         limits,
@@ -102,150 +102,150 @@
         tuple(seed for seed in seeds if seed != address),
         last_at=now,
         started_at=now,
-        heard_at=now,
-        update_budget=budget.Budget(limits.update_rate, limits.update_burst),
+        received_at=now,
+        update_budget=budget.Budget(limits.update_bytes_per_s, limits.update_burst_bytes),
         catch_up=gossip_state.CatchUp(until=now),
     )
-    spread.membership.listed = spread.configuration.instances.entries
-    spread.streams = {name: gossip_state.Stream(name) for name in watching.STREAMS}
-    catching_up.begin(spread, now)
-    return spread
+    state.membership.listed = state.configuration.instances.entries
+    state.streams = {name: gossip_state.Stream(name) for name in watching.STREAMS}
+    catching_up.begin_catch_up(state, now)
+    return state
 
 
-def decide(spread: gossip_state.Spread, event, now: int) -> list[gossip_state.Effect]:
+def decide(state: gossip_state.GossipState, event, now: int) -> list[gossip_state.Effect]:
     """Handle one event at time `now` (ms) and return the effects, in order."""
-    notice_pause(spread, now)
-    on_event(event, spread, now)
-    if spread.changed and spread.caught_up:
-        spread.changed = False
-        spread.pending.append(gossip_state.InForce())
-    taken = spread.pending
-    spread.pending = []
+    detect_pause(state, now)
+    on_event(event, state, now)
+    if state.changed and state.is_caught_up:
+        state.changed = False
+        state.pending.append(gossip_state.ViewInForce())
+    taken = state.pending
+    state.pending = []
     return taken
 
 
-def notice_pause(spread: gossip_state.Spread, now: int) -> None:
+def detect_pause(state: gossip_state.GossipState, now: int) -> None:
     """Start catch-up after a pause of the process, since its view may be out of date.
 
     A running process ticks every 100 ms, so a long gap means that it was stopped. Probes and calls
     under way are dropped: their answers may have arrived and been lost during the pause.
     """
-    gap = now - spread.last_at
-    spread.last_at = max(spread.last_at, now)
-    if gap <= spread.limits.pause_bound:
+    gap = now - state.last_at
+    state.last_at = max(state.last_at, now)
+    if gap <= state.limits.max_pause_ms:
         return
-    spread.trace("woke", gap_ms=gap)
-    spread.probes.clear()
-    spread.helping.clear()
-    spread.ahead.clear()
-    spread.pull = None
-    for stream in spread.streams.values():
-        stream.calling_until = 0
-    spread.heard_at = now
-    spread.pending.append(gossip_state.FellBehind())
-    catching_up.begin(spread, now)
+    state.trace("woke", gap_ms=gap)
+    state.probes.clear()
+    state.indirect_probes.clear()
+    state.peers_ahead.clear()
+    state.pull = None
+    for stream in state.streams.values():
+        stream.call_deadline = 0
+    state.received_at = now
+    state.pending.append(gossip_state.ViewStale())
+    catching_up.begin_catch_up(state, now)
 
 
 @functools.singledispatch
-def on_event(event, spread: gossip_state.Spread, now: int) -> None:
+def on_event(event, state: gossip_state.GossipState, now: int) -> None:
     """Handle one event."""
     raise TypeError(f"no rule for {type(event).__name__}")
 
 
 @on_event.register
-def _(event: Tick, spread, now):
-    spread.refresh_roster(now)
-    pulling.on_tick(spread, now)
-    probing.on_tick(spread, now)
-    watching.on_tick(spread, now)
-    catching_up.on_tick(spread, now)
-    pulling.fill_in(spread, now)
+def _(event: Tick, state, now):
+    state.refresh_peers(now)
+    pulling.on_tick(state, now)
+    probing.on_tick(state, now)
+    watching.on_tick(state, now)
+    catching_up.on_tick(state, now)
+    pulling.pull_older(state, now)
 
 
 @on_event.register
-def _(event: Arrived, spread, now):
-    on_message(event.message, spread, event.address, now)
+def _(event: Arrived, state, now):
+    on_message(event.message, state, event.address, now)
 
 
 @on_event.register
-def _(event: Shown, spread, now):
-    pulling.note_ahead(spread, event.address, configuration.Digest(event.revision), now)
+def _(event: RevisionSeen, state, now):
+    pulling.note_peer_ahead(state, event.address, configuration.Digest(event.revision), now)
 
 
 @on_event.register
-def _(event: PlatformRead, spread, now):
-    before = spread.configuration.digest
-    older = event.delta.complete < watching.known(spread, event.stream)
+def _(event: PlatformRead, state, now):
+    before = state.configuration.digest
+    older = event.delta.complete < watching.known_revision(state, event.stream)
     if event.stream == watching.VALUES:
-        keys, refusals = spread.configuration.apply_values(event.delta)
+        keys, refusals = state.configuration.apply_values(event.delta)
         changes = configuration.Changes(tuple(keys), tuple(refusals))
     else:
-        names = spread.configuration.apply_instances(event.delta)
+        names = state.configuration.apply_instances(event.delta)
         changes = configuration.Changes(instances=tuple(names))
-    if changes or spread.configuration.digest != before:
-        spread.note_changes(changes, now)
-    watching.on_read(spread, event.stream, event.delta, event.more, now)
+    if changes or state.configuration.digest != before:
+        state.note_changes(changes, now)
+    watching.on_read(state, event.stream, event.delta, event.more, now)
     if not event.more:
-        catching_up.on_platform(spread, event.stream, answered=not older)
+        catching_up.on_platform(state, event.stream, answered=not older)
 
 
 @on_event.register
-def _(event: PlatformFailed, spread, now):
-    watching.on_failed(spread, event.stream, now)
-    catching_up.on_platform(spread, event.stream, answered=False)
+def _(event: PlatformFailed, state, now):
+    watching.on_failed(state, event.stream, now)
+    catching_up.on_platform(state, event.stream, answered=False)
 
 
 @on_event.register
-def _(event: Fetched, spread, now):
+def _(event: Fetched, state, now):
     if event.update is None:
-        pulling.on_busy(spread, event.reply, now)
+        pulling.on_busy(state, event.reply, now)
     else:
-        pulling.on_reply(spread, event.reply, event.update, now)
+        pulling.on_reply(state, event.reply, event.update, now)
 
 
 @on_event.register
-def _(event: FetchFailed, spread, now):
-    pulling.on_failed(spread, event.nonce, now)
+def _(event: FetchFailed, state, now):
+    pulling.on_failed(state, event.nonce, now)
 
 
 @on_event.register
-def _(event: Leave, spread, now):
-    spread.membership.leave()
-    probing.tell_random(spread)
+def _(event: Leave, state, now):
+    state.membership.leave()
+    probing.push_to_random(state)
 
 
 @functools.singledispatch
-def on_message(message, spread: gossip_state.Spread, address: view.Address, now: int) -> None:
+def on_message(message, state: gossip_state.GossipState, address: view.Address, now: int) -> None:
     """Handle one message of another process."""
     raise TypeError(f"no rule for {type(message).__name__}")
 
 
 @on_message.register
-def _(message: control.Beat, spread, address, now):
-    probing.on_beat(spread, address, message, now)
-    catching_up.on_beat(spread, message)
+def _(message: control.Gossip, state, address, now):
+    probing.on_gossip(state, address, message, now)
+    catching_up.on_gossip(state, message)
 
 
 @on_message.register
-def _(message: control.Pull, spread, address, now):
-    spread.send(address, pulling.serve(spread, message, now))
+def _(message: control.Pull, state, address, now):
+    state.send(address, pulling.answer_datagram(state, message, now))
 
 
 @on_message.register
-def _(message: control.UpdateReply, spread, address, now):
-    pulling.on_reply(spread, message, control.unpack_update(message.update), now)
+def _(message: control.UpdateReply, state, address, now):
+    pulling.on_reply(state, message, control.unpack_update(message.update), now)
 
 
 @on_message.register
-def _(message: control.TooLarge, spread, address, now):
-    pulling.on_too_large(spread, message.nonce, now)
+def _(message: control.TooLarge, state, address, now):
+    pulling.on_too_large(state, message.nonce, now)
 
 
 @on_message.register
-def _(message: control.Busy, spread, address, now):
-    pulling.on_busy(spread, message, now)
+def _(message: control.Busy, state, address, now):
+    pulling.on_busy(state, message, now)
 
 
 @on_message.register
-def _(message: control.ProbeFor, spread, address, now):
-    probing.on_probe_for(spread, address, message, now)
+def _(message: control.ProbeFor, state, address, now):
+    probing.on_probe_for(state, address, message, now)
--- a/src/ebonystile/core/control/gossip_state.py
+++ b/src/ebonystile/core/control/gossip_state.py
@@ -1,7 +1,7 @@
 """The state of configuration distribution, and the operations that its modules share.
 
 The modules `watching`, `pulling`, `probing` and `catching_up` change this state and append effects;
-`spread.decide` is the only entry point from outside.
+`state.decide` is the only entry point from outside.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 from ebonystile.core.control import configuration, membership
 from ebonystile.peer import control
 
-SKEW_BOUND = 1_000
+MAX_SKEW_MS = 1_000
 """Largest clock difference between instances that is allowed for, in ms.
 
 A confirmation time from a peer is capped at the own time plus this bound: a watcher whose clock
@@ -20,60 +20,60 @@
 process would take over.
 """
 
-ROSTER_MS = 5_000
+PEERS_REFRESH_MS = 5_000
 """Least time between two rebuilds of the lists of peers, in ms."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """The parameters of configuration distribution; times are in ms, budgets in bytes.
+    """The parameters of gossip and of the calls to the platform.
 
-    exchange: interval of the gossip exchange with a random peer.
-    answer: time after which a peer counts as not answering.
+    exchange_ms: interval of the exchange with a random peer.
+    answer_timeout_ms: time after which a peer counts as not answering.
     fanout: peers to which a change is pushed.
-    rumour_gap, list_rumour_gap: least time between two pushes, the latter if only the list of
+    push_gap_ms, list_push_gap_ms: least time between two pushes, the latter if only the list of
     instances has changed.
-    pull_jitter, pull_timeout: largest delay before a pull, and its timeout.
-    watch, call_margin: duration of one watch of the platform, and what its call may take beyond it.
-    call_gap, instances_gap: least time between two reads of the values, and of the list.
-    backoff_least, backoff_most: pause after a failed call, doubled with each further failure.
-    stale: age of the platform's last confirmation at which further processes become watchers.
-    promotion: how long such a process stays a watcher.
-    watchers, watchers_most: watchers per zone, normally and while the confirmation is old.
-    epoch: how long a choice of watchers lasts.
-    solo_wait: duration of a watch by a process that receives nothing from any peer.
-    solo_gap, solo_rate: interval of the calls of processes that are no watchers while the
-    confirmation is old, and the rate of such calls over the whole fleet, per second.
-    start_bound: timeout of one catch-up round.
-    pause_bound: longest gap between two events of a running process; a longer one is a pause.
-    update_rate, update_burst: bytes of updates sent to other processes, per second and at once.
+    pull_jitter_ms, pull_timeout_ms: largest delay before a pull, and its timeout.
+    watch_ms, call_margin_ms: duration of one watch of the platform, and the extra time of its call.
+    call_gap_ms, instances_gap_ms: least time between two reads of the values, and of the list.
+    min_backoff_ms, max_backoff_ms: pause after a failed call, doubled with each further failure.
+    stale_after_ms: age of the platform's last confirmation at which further processes watch it.
+    promotion_ms: how long such a process stays a watcher.
+    watchers, max_watchers: watchers per zone, normally and while the confirmation is old.
+    epoch_ms: how long a choice of watchers lasts.
+    solo_watch_ms: duration of a watch by a process that receives nothing from any peer.
+    solo_gap_ms, max_solo_calls_per_s: least interval of the calls of a process that is no watcher
+    while the confirmation is old, and the rate of such calls over the whole fleet.
+    catch_up_timeout_ms: timeout of one catch-up round.
+    max_pause_ms: longest gap between two events of a running process; a longer one is a pause.
+    update_bytes_per_s, update_burst_bytes: size of the updates sent, per second and at once.
     """
 
-    exchange: int = 1_000
-    answer: int = 700
+    exchange_ms: int = 1_000
+    answer_timeout_ms: int = 700
     fanout: int = 4
-    rumour_gap: int = 1_000
-    list_rumour_gap: int = 3_000
-    pull_jitter: int = 100
-    pull_timeout: int = 1_000
-    watch: int = 2_000
-    call_gap: int = 500
-    instances_gap: int = 2_000
-    call_margin: int = 3_000
-    backoff_least: int = 500
-    backoff_most: int = 15_000
-    stale: int = 6_500
-    promotion: int = 60_000
+    push_gap_ms: int = 1_000
+    list_push_gap_ms: int = 3_000
+    pull_jitter_ms: int = 100
+    pull_timeout_ms: int = 1_000
+    watch_ms: int = 2_000
+    call_gap_ms: int = 500
+    instances_gap_ms: int = 2_000
+    call_margin_ms: int = 3_000
+    min_backoff_ms: int = 500
+    max_backoff_ms: int = 15_000
+    stale_after_ms: int = 6_500
+    promotion_ms: int = 60_000
     watchers: int = 2
-    watchers_most: int = 8
-    epoch: int = 600_000
-    solo_wait: int = 30_000
-    solo_gap: int = 60_000
-    solo_rate: int = 50
-    start_bound: int = 4_000
-    pause_bound: int = 2_000
-    update_rate: int = 3_000
-    update_burst: int = 4_000_000
+    max_watchers: int = 8
+    epoch_ms: int = 600_000
+    solo_watch_ms: int = 30_000
+    solo_gap_ms: int = 60_000
+    max_solo_calls_per_s: int = 50
+    catch_up_timeout_ms: int = 4_000
+    max_pause_ms: int = 2_000
+    update_bytes_per_s: int = 3_000
+    update_burst_bytes: int = 4_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -103,16 +103,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class ViewInForce:
     """Use the configuration's current view: it has changed, or was confirmed after a pause."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FellBehind:
+class ViewStale:
     """Stop using the view until the next `InForce`: it may be out of date."""
 
 
-Effect = SendMessage | WatchPlatform | Fetch | InForce | FellBehind | effects.Trace
+Effect = SendMessage | WatchPlatform | Fetch | ViewInForce | ViewStale | effects.Trace
 
 
 @dataclasses.dataclass(slots=True)
@@ -123,7 +123,7 @@
     """
 
     name: str
-    calling_until: int = 0
+    call_deadline: int = 0
     called_at: int = 0
     next_at: int = 0
     failures: int = 0
@@ -131,7 +131,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PullUnderWay:
+class PendingPull:
     """The pull that has been sent and not yet answered."""
 
     nonce: int
@@ -161,7 +161,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Spread:
+class GossipState:
     """The state of configuration distribution in one process."""
 
     membership: membership.Membership
@@ -172,36 +172,36 @@
     last_at: int
     started_at: int
     streams: dict[str, Stream] = dataclasses.field(default_factory=dict)
-    fresh_as_of: int = 0
-    own_fresh: int = 0
-    others_fresh: int = 0
-    heard_at: int = 0
+    platform_confirmed_at: int = 0
+    own_confirmed_at: int = 0
+    peers_confirmed_at: int = 0
+    received_at: int = 0
     promoted_until: int = 0
-    solo_at: int = 0
+    solo_call_at: int = 0
     rank: int = 0
-    rank_at: int = 0
-    zone_mates: list[str] = dataclasses.field(default_factory=list)
+    rank_expires_at: int = 0
+    zone_peers: list[str] = dataclasses.field(default_factory=list)
     balancers: list[str] = dataclasses.field(default_factory=list)
     sidecars: list[str] = dataclasses.field(default_factory=list)
-    roster_at: int = 0
-    roster_stale: bool = True
+    peers_at: int = 0
+    peers_stale: bool = True
     exchange_at: int = 0
-    rumour_at: int = 0
-    told_at: int = 0
+    push_at: int = 0
+    pushed_at: int = 0
     prune_at: int = 0
-    fill_at: int = 0
-    ahead: dict[view.Address, configuration.Digest] = dataclasses.field(default_factory=dict)
+    pull_older_at: int = 0
+    peers_ahead: dict[view.Address, configuration.Digest] = dataclasses.field(default_factory=dict)
     pull_at: int = 0
-    pull: PullUnderWay | None = None
+    pull: PendingPull | None = None
     probes: dict[int, Probe] = dataclasses.field(default_factory=dict)
-    helping: dict[str, tuple[view.Address, int]] = dataclasses.field(default_factory=dict)
+    indirect_probes: dict[str, tuple[view.Address, int]] = dataclasses.field(default_factory=dict)
     catch_up: CatchUp | None = None
     update_budget: budget.Budget = dataclasses.field(default_factory=lambda: budget.Budget(1, 1))
     changed: bool = False
     pending: list[Effect] = dataclasses.field(default_factory=list)
 
     @property
-    def caught_up(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Whether this process may use its view."""
         return self.catch_up is None
 
@@ -226,31 +226,31 @@
         """Return a random nonce; never 0, which stands for none."""
         return 1 + self.randomness.randrange(1 << 62)
 
-    def beat(
+    def make_gossip(
         self, nonce: int = 0, answers: int = 0, first: membership.Statement | None = None
-    ) -> control.Beat:
-        """Return a beat with the next membership updates, `first` ahead of them."""
-        news = self.membership.take_news()
+    ) -> control.Gossip:
+        """Return a gossip message with the next membership updates, `first` ahead of them."""
+        updates = self.membership.take_updates()
         if first is not None:
-            news = (first, *(n for n in news if n.name != first.name))
+            updates = (first, *(n for n in updates if n.name != first.name))
         digest = self.configuration.digest
-        return control.Beat(
+        return control.Gossip(
             control.pack_statement(self.membership.own),
             nonce,
             answers,
             digest.values,
             digest.instances,
-            self.fresh_as_of,
-            self.caught_up,
-            tuple(control.pack_statement(item) for item in news),
+            self.platform_confirmed_at,
+            self.is_caught_up,
+            tuple(control.pack_statement(item) for item in updates),
         )
 
-    def note_fresh(self, as_of: int, now: int) -> None:
+    def note_platform_confirmed(self, as_of: int, now: int) -> None:
         """Take over a peer's time of the platform's last confirmation, capped by `SKEW_BOUND`."""
-        as_of = min(as_of, now + SKEW_BOUND)
-        self.fresh_as_of = max(self.fresh_as_of, as_of)
-        if as_of > self.own_fresh:
-            self.others_fresh = max(self.others_fresh, as_of)
+        as_of = min(as_of, now + MAX_SKEW_MS)
+        self.platform_confirmed_at = max(self.platform_confirmed_at, as_of)
+        if as_of > self.own_confirmed_at:
+            self.peers_confirmed_at = max(self.peers_confirmed_at, as_of)
 
     def note_changes(self, changes: configuration.Changes, now: int) -> None:
         """Apply changes to the membership and the view, and schedule a push to peers."""
@@ -262,38 +262,38 @@
                 faults="; ".join(refusal.faults),
             )
         for name in changes.instances:
-            if self.membership.instance_listed(name) is None:
-                self.membership.drop(name, now)
-            self.configuration.say(name, self.membership.overlay(name))
-        self.roster_stale = self.roster_stale or bool(changes.instances)
+            if self.membership.listed_instance(name) is None:
+                self.membership.mark_gone(name, now)
+            self.configuration.set_override(name, self.membership.override_for(name))
+        self.peers_stale = self.peers_stale or bool(changes.instances)
         self.changed = True
-        gap = self.limits.rumour_gap if changes.keys else self.limits.list_rumour_gap
-        due = max(now, self.told_at + gap)
-        self.rumour_at = min(self.rumour_at or due, due)
+        gap = self.limits.push_gap_ms if changes.keys else self.limits.list_push_gap_ms
+        due = max(now, self.pushed_at + gap)
+        self.push_at = min(self.push_at or due, due)
 
     def note_members(self, names: typing.Iterable[str]) -> None:
         """Update the view with what the membership knows of these processes."""
         for name in names:
-            self.roster_stale = True
-            before = self.configuration.said.get(name)
-            overlay = self.membership.overlay(name)
-            if overlay != before:
-                self.configuration.say(name, overlay)
+            self.peers_stale = True
+            before = self.configuration.overrides.get(name)
+            override = self.membership.override_for(name)
+            if override != before:
+                self.configuration.set_override(name, override)
                 self.changed = True
 
-    def refresh_roster(self, now: int) -> None:
+    def refresh_peers(self, now: int) -> None:
         """Rebuild the lists of peers by role; not often, as it visits every instance."""
-        if not self.roster_stale or now < self.roster_at:
+        if not self.peers_stale or now < self.peers_at:
             return
-        self.roster_stale = False
-        self.roster_at = now + ROSTER_MS
-        self.rank_at = 0
-        self.balancers = self.membership.names("balancer")
-        self.sidecars = self.membership.names("upstream")
+        self.peers_stale = False
+        self.peers_at = now + PEERS_REFRESH_MS
+        self.rank_expires_at = 0
+        self.balancers = self.membership.names_of_role("balancer")
+        self.sidecars = self.membership.names_of_role("upstream")
         zone = self.membership.own.zone
-        self.zone_mates = [n for n in self.balancers if self.membership.zone_of(n) == zone]
+        self.zone_peers = [n for n in self.balancers if self.membership.zone_of(n) == zone]
 
 
-def digest_of(beat: control.Beat) -> configuration.Digest:
-    """Return the revisions up to which the sender of a beat is complete."""
-    return configuration.Digest(beat.values, beat.instances)
+def digest_of(message: control.Gossip) -> configuration.Digest:
+    """Return the revisions up to which the sender of a message is complete."""
+    return configuration.Digest(message.values, message.instances)
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -4,179 +4,181 @@
 from ebonystile.core.control import gossip_state, membership, pulling
 from ebonystile.peer import control
 
-HELPERS = 3
+INDIRECT_PROBERS = 3
 """Peers asked to probe one that does not answer."""
 
-ANYONE_SHARE = 0.2
+ANY_PEER_SHARE = 0.2
 """Share of exchanges that may go to peers counted as dead, so that a healed partition rejoins."""
 
 OTHER_ROLE_SHARE = 0.125
 """Share of a balancer's exchanges that go to sidecars."""
 
-SEEDS_SHARE = 0.05
+SEED_SHARE = 0.05
 """Share of exchanges with the configured seeds, which reconnect the fleet after long partitions."""
 
-SIDECAR_FACTOR = 4
+SIDECAR_INTERVAL_FACTOR = 4
 """Multiple of the exchange interval for sidecars: they are many and no source of newer state."""
 
 PRUNE_MS = 2_000
-MAX_HELPING = 256
+MAX_INDIRECT_PROBES = 256
 MAX_GENERATION = 1 << 63
 
 
-def on_tick(spread: gossip_state.Spread, now: int) -> None:
+def on_tick(state: gossip_state.GossipState, now: int) -> None:
     """Do what is due: time out probes, exchange, push a change, prune the membership."""
-    for nonce, probe in list(spread.probes.items()):
+    for nonce, probe in list(state.probes.items()):
         if now >= probe.deadline:
-            on_silence(spread, nonce, probe, now)
-    if now >= spread.exchange_at:
-        span = spread.limits.exchange * (1 if spread.is_balancer else SIDECAR_FACTOR)
-        spread.exchange_at = now + span // 2 + spread.jitter(span)
-        ask_random(spread, now)
-    if spread.rumour_at and now >= spread.rumour_at and spread.caught_up:
-        spread.rumour_at = 0
-        spread.told_at = now
-        tell_random(spread)
-    if now >= spread.prune_at:
-        spread.prune_at = now + PRUNE_MS
-        spread.note_members(spread.membership.prune(now))
-        for name in [n for n, (_, until) in spread.helping.items() if now >= until]:
-            del spread.helping[name]
-
-
-def ask_random(spread: gossip_state.Spread, now: int) -> None:
-    """Send a beat to one random peer and ask for its beat."""
-    name = choose(spread)
+            on_probe_timeout(state, nonce, probe, now)
+    if now >= state.exchange_at:
+        span = state.limits.exchange_ms * (1 if state.is_balancer else SIDECAR_INTERVAL_FACTOR)
+        state.exchange_at = now + span // 2 + state.jitter(span)
+        probe_random(state, now)
+    if state.push_at and now >= state.push_at and state.is_caught_up:
+        state.push_at = 0
+        state.pushed_at = now
+        push_to_random(state)
+    if now >= state.prune_at:
+        state.prune_at = now + PRUNE_MS
+        state.note_members(state.membership.prune(now))
+        for name in [n for n, (_, until) in state.indirect_probes.items() if now >= until]:
+            del state.indirect_probes[name]
+
+
+def probe_random(state: gossip_state.GossipState, now: int) -> None:
+    """Send a gossip message to one random peer and ask for one back."""
+    name = choose_peer(state)
     if name is None:
-        if spread.seeds:
-            ask(spread, spread.seeds[spread.randomness.randrange(len(spread.seeds))], "", now)
+        if state.seeds:
+            send_probe(state, state.seeds[state.randomness.randrange(len(state.seeds))], "", now)
         return
-    address = spread.membership.address_of(name)
+    address = state.membership.address_of(name)
     if address is not None:
-        ask(spread, address, name, now)
+        send_probe(state, address, name, now)
 
 
-def choose(spread: gossip_state.Spread) -> str | None:
+def choose_peer(state: gossip_state.GossipState) -> str | None:
     """Return the name of a random peer, or None for one of the seeds."""
-    draw = spread.randomness.random()
-    names = spread.balancers or spread.sidecars
-    if spread.is_balancer and spread.sidecars and draw < OTHER_ROLE_SHARE:
-        names = spread.sidecars
-    if spread.seeds and draw > 1 - SEEDS_SHARE:
+    draw = state.randomness.random()
+    names = state.balancers or state.sidecars
+    if state.is_balancer and state.sidecars and draw < OTHER_ROLE_SHARE:
+        names = state.sidecars
+    if state.seeds and draw > 1 - SEED_SHARE:
         return None
-    anyone = spread.randomness.random() < ANYONE_SHARE
+    any_peer = state.randomness.random() < ANY_PEER_SHARE
     for _ in range(8):
         if not names:
             break
-        name = names[spread.randomness.randrange(len(names))]
-        if anyone or spread.membership.usable(name):
+        name = names[state.randomness.randrange(len(names))]
+        if any_peer or state.membership.is_usable(name):
             return name
     return None
 
 
-def ask(spread: gossip_state.Spread, address: view.Address, name: str, now: int) -> int:
-    """Send a beat that asks for one; with a `name`, a peer that does not answer is suspected."""
-    nonce = spread.new_nonce()
+def send_probe(state: gossip_state.GossipState, address: view.Address, name: str, now: int) -> int:
+    """Send a message that asks for one back; a peer with a `name` is suspected if none comes."""
+    nonce = state.new_nonce()
     if name:
-        spread.probes[nonce] = gossip_state.Probe(name, now + spread.limits.answer)
-    first = newer_word(spread, name, MAX_GENERATION)
-    spread.send(address, spread.beat(nonce=nonce, first=first))
+        state.probes[nonce] = gossip_state.Probe(name, now + state.limits.answer_timeout_ms)
+    first = newer_statement(state, name, MAX_GENERATION)
+    state.send(address, state.make_gossip(nonce=nonce, first=first))
     return nonce
 
 
-def newer_word(
-    spread: gossip_state.Spread, name: str, generation: int
+def newer_statement(
+    state: gossip_state.GossipState, name: str, generation: int
 ) -> membership.Statement | None:
     """Return the statement on a process if it overrides that of the process itself, else None.
 
     A suspected process must receive it to refute the suspicion, and a process whose name was taken
     by another one during a pause must receive it to yield.
     """
-    statement = spread.membership.statement_of(name)
+    statement = state.membership.statement_of(name)
     if statement is None:
         return None
-    accused = statement.state >= membership.State.SUSPECT
+    accused = statement.state >= membership.MemberState.SUSPECT
     return statement if accused or statement.generation > generation else None
 
 
-def tell_random(spread: gossip_state.Spread) -> None:
+def push_to_random(state: gossip_state.GossipState) -> None:
     """Push this process's revisions to a few random balancers, which pull what they lack."""
-    for name in pick_usable(spread, spread.limits.fanout, ""):
-        spread.send(spread.membership.address_of(name), spread.beat())
+    for name in pick_usable(state, state.limits.fanout, ""):
+        state.send(state.membership.address_of(name), state.make_gossip())
 
 
-def pick_usable(spread: gossip_state.Spread, count: int, banned: str) -> list[str]:
+def pick_usable(state: gossip_state.GossipState, count: int, banned: str) -> list[str]:
     """Return up to `count` random balancers that are usable."""
-    names = membership.pick(spread.balancers, 2 * count, spread.randomness, {banned})
-    return [name for name in names if spread.membership.usable(name)][:count]
+    names = membership.pick_random(state.balancers, 2 * count, state.randomness, {banned})
+    return [name for name in names if state.membership.is_usable(name)][:count]
 
 
-def on_silence(spread: gossip_state.Spread, nonce: int, probe: gossip_state.Probe, now: int):
+def on_probe_timeout(
+    state: gossip_state.GossipState, nonce: int, probe: gossip_state.Probe, now: int
+):
     """Have other peers probe one that did not answer; suspect it if they got no answer either."""
-    del spread.probes[nonce]
+    del state.probes[nonce]
     if probe.indirect:
-        if spread.membership.suspect(probe.name, now):
-            spread.trace("suspected", member=probe.name)
-            spread.note_members([probe.name])
+        if state.membership.suspect(probe.name, now):
+            state.trace("suspected", member=probe.name)
+            state.note_members([probe.name])
         return
-    address = spread.membership.address_of(probe.name)
-    if address is None or not spread.membership.usable(probe.name):
+    address = state.membership.address_of(probe.name)
+    if address is None or not state.membership.is_usable(probe.name):
         return
-    deadline = now + 3 * spread.limits.answer
-    spread.probes[nonce] = gossip_state.Probe(probe.name, deadline, indirect=True)
-    for name in pick_usable(spread, HELPERS, probe.name):
+    deadline = now + 3 * state.limits.answer_timeout_ms
+    state.probes[nonce] = gossip_state.Probe(probe.name, deadline, indirect=True)
+    for name in pick_usable(state, INDIRECT_PROBERS, probe.name):
         question = control.ProbeFor(probe.name, address)
-        spread.send(spread.membership.address_of(name), question)
+        state.send(state.membership.address_of(name), question)
 
 
 def on_probe_for(
-    spread: gossip_state.Spread, asker: view.Address, message: control.ProbeFor, now: int
+    state: gossip_state.GossipState, asker: view.Address, message: control.ProbeFor, now: int
 ) -> None:
     """Probe a process on behalf of another, which is sent the answer."""
-    if len(spread.helping) >= MAX_HELPING:
+    if len(state.indirect_probes) >= MAX_INDIRECT_PROBES:
         return
-    spread.helping[message.name] = (asker, now + 2 * spread.limits.answer)
-    spread.send(message.address, spread.beat(nonce=spread.new_nonce()))
+    state.indirect_probes[message.name] = (asker, now + 2 * state.limits.answer_timeout_ms)
+    state.send(message.address, state.make_gossip(nonce=state.new_nonce()))
 
 
-def on_beat(
-    spread: gossip_state.Spread, address: view.Address, beat: control.Beat, now: int
+def on_gossip(
+    state: gossip_state.GossipState, address: view.Address, message: control.Gossip, now: int
 ) -> None:
-    """Apply a peer's statements on itself and others, and answer if it asks for a beat."""
-    sender = control.unpack_statement(beat.sender)
-    items = [control.unpack_statement(item) for item in beat.news]
-    own_before = spread.membership.own
-    superseded_before = spread.membership.superseded
-    changed = [item.name for item in items if spread.membership.learn(item, now)]
-    if sender.name != own_before.name and spread.membership.hear(sender, now):
+    """Apply a peer's statements on itself and others, and answer if it asks for a message."""
+    sender = control.unpack_statement(message.sender)
+    items = [control.unpack_statement(item) for item in message.updates]
+    own_before = state.membership.own
+    superseded_before = state.membership.is_superseded
+    changed = [item.name for item in items if state.membership.apply_statement(item, now)]
+    if sender.name != own_before.name and state.membership.receive_statement(sender, now):
         changed.append(sender.name)
-    spread.note_members(n for n in changed if n != own_before.name)
-    if spread.membership.own is not own_before:
-        spread.trace("suspicion_refuted", generation=spread.membership.own.generation)
-        spread.send(address, spread.beat())
-    if spread.membership.superseded and not superseded_before:
-        spread.trace("superseded", member=own_before.name)
-    settle(spread, beat, sender, items)
-    spread.heard_at = now
-    spread.note_fresh(beat.fresh_as_of, now)
-    pulling.note_ahead(spread, address, gossip_state.digest_of(beat), now)
-    if beat.nonce:
-        first = newer_word(spread, sender.name, sender.generation)
-        spread.send(address, spread.beat(answers=beat.nonce, first=first))
-
-
-def settle(
-    spread: gossip_state.Spread,
-    beat: control.Beat,
+    state.note_members(n for n in changed if n != own_before.name)
+    if state.membership.own is not own_before:
+        state.trace("suspicion_refuted", generation=state.membership.own.generation)
+        state.send(address, state.make_gossip())
+    if state.membership.is_superseded and not superseded_before:
+        state.trace("superseded", member=own_before.name)
+    settle_probes(state, message, sender, items)
+    state.received_at = now
+    state.note_platform_confirmed(message.platform_confirmed_at, now)
+    pulling.note_peer_ahead(state, address, gossip_state.digest_of(message), now)
+    if message.nonce:
+        first = newer_statement(state, sender.name, sender.generation)
+        state.send(address, state.make_gossip(answers=message.nonce, first=first))
+
+
+def settle_probes(
+    state: gossip_state.GossipState,
+    message: control.Gossip,
     sender: membership.Statement,
     items: list[membership.Statement],
 ) -> None:
-    """End the probes that this beat answers, and relay it to a process that asked for the probe."""
-    spread.probes.pop(beat.answers, None)
-    alive = {item.name for item in items if item.state < membership.State.SUSPECT}
+    """End the probes that this message answers, and relay it to a process that asked for one."""
+    state.probes.pop(message.answers, None)
+    alive = {item.name for item in items if item.state < membership.MemberState.SUSPECT}
     alive.add(sender.name)
-    for nonce in [n for n, p in spread.probes.items() if p.indirect and p.name in alive]:
-        del spread.probes[nonce]
-    helped = spread.helping.pop(sender.name, None)
-    if helped is not None:
-        spread.send(helped[0], spread.beat(first=sender))
+    for nonce in [n for n, p in state.probes.items() if p.indirect and p.name in alive]:
+        del state.probes[nonce]
+    asker = state.indirect_probes.pop(sender.name, None)
+    if asker is not None:
+        state.send(asker[0], state.make_gossip(first=sender))
--- a/src/ebonystile/core/control/pulling.py
+++ b/src/ebonystile/core/control/pulling.py
@@ -6,181 +6,189 @@
 from ebonystile.core.control import configuration, gossip_state, membership
 from ebonystile.peer import control
 
-MAX_AHEAD = 8
+MAX_PEERS_AHEAD = 8
 """Peers remembered as ahead."""
 
-OTHERS = 4
+MAX_ALTERNATIVES = 4
 """Other peers named in the refusal of a pull."""
 
 KEY_BYTES = 16
 INSTANCE_BYTES = 30
 """Approximate size of a key and of a listed instance in a packed update."""
 
-DATAGRAM_ESTIMATE = 4_000
+MAX_DATAGRAM_ESTIMATE_BYTES = 4_000
 """Estimated size (bytes) above which an answer counts as too large for a datagram."""
 
-FILL_MS = 5_000
+PULL_OLDER_MS = 5_000
 """Least time between two pulls for the older values of refused documents, in ms."""
 
-WEBSOCKET_TIMEOUTS = 5
+WEBSOCKET_TIMEOUT_FACTOR = 5
 """Timeout of a pull over a websocket, as a multiple of that of a datagram."""
 
 
-def note_ahead(
-    spread: gossip_state.Spread, address: view.Address, digest: configuration.Digest, now: int
+def note_peer_ahead(
+    state: gossip_state.GossipState, address: view.Address, digest: configuration.Digest, now: int
 ) -> None:
     """Remember a peer that is ahead and schedule a pull; jitter spreads the pulls of the fleet."""
-    if not spread.configuration.digest.behind(digest):
-        spread.ahead.pop(address, None)
+    if not state.configuration.digest.is_behind(digest):
+        state.peers_ahead.pop(address, None)
         return
-    if len(spread.ahead) >= MAX_AHEAD and address not in spread.ahead:
+    if len(state.peers_ahead) >= MAX_PEERS_AHEAD and address not in state.peers_ahead:
         return
-    if not spread.ahead and spread.pull is None:
-        spread.pull_at = now + spread.jitter(spread.limits.pull_jitter)
-    spread.ahead[address] = digest
+    if not state.peers_ahead and state.pull is None:
+        state.pull_at = now + state.jitter(state.limits.pull_jitter_ms)
+    state.peers_ahead[address] = digest
 
 
-def on_tick(spread: gossip_state.Spread, now: int) -> None:
+def on_tick(state: gossip_state.GossipState, now: int) -> None:
     """Time out the pull under way and start one that is due."""
-    if spread.pull is not None and now >= spread.pull.deadline:
-        forget(spread, now)
-    if spread.pull is not None or now < spread.pull_at or not spread.ahead:
+    if state.pull is not None and now >= state.pull.deadline:
+        drop_pull(state, now)
+    if state.pull is not None or now < state.pull_at or not state.peers_ahead:
         return
-    own = spread.configuration.digest
-    for address in [a for a, digest in spread.ahead.items() if not own.behind(digest)]:
-        del spread.ahead[address]
-    if spread.ahead:
-        addresses = list(spread.ahead)
-        start(spread, addresses[spread.randomness.randrange(len(addresses))], now)
+    own = state.configuration.digest
+    for address in [a for a, digest in state.peers_ahead.items() if not own.is_behind(digest)]:
+        del state.peers_ahead[address]
+    if state.peers_ahead:
+        addresses = list(state.peers_ahead)
+        start_pull(state, addresses[state.randomness.randrange(len(addresses))], now)
 
 
-def fill_in(spread: gossip_state.Spread, now: int) -> None:
+def pull_older(state: gossip_state.GossipState, now: int) -> None:
     """Pull the older value of a refused document, which may be in force in other processes."""
-    if spread.pull is not None or now < spread.fill_at or not spread.configuration.incomplete:
+    if state.pull is not None or now < state.pull_older_at or not state.configuration.is_incomplete:
         return
-    spread.fill_at = now + FILL_MS + spread.jitter(FILL_MS)
-    for name in membership.pick(spread.balancers, 1, spread.randomness, set()):
-        start(spread, spread.membership.address_of(name), now)
+    state.pull_older_at = now + PULL_OLDER_MS + state.jitter(PULL_OLDER_MS)
+    for name in membership.pick_random(state.balancers, 1, state.randomness, set()):
+        start_pull(state, state.membership.address_of(name), now)
 
 
-def start(spread: gossip_state.Spread, address: view.Address, now: int) -> None:
+def start_pull(state: gossip_state.GossipState, address: view.Address, now: int) -> None:
     """Send a pull; the answer to a first one is large, so it goes over a websocket."""
-    wanted = spread.configuration.wanted()
-    pull = control.make_pull(spread.new_nonce(), wanted)
-    deadline = now + spread.limits.pull_timeout
-    if wanted.digest.values == 0:
-        fetch(spread, address, pull, now)
+    request = state.configuration.pull_request()
+    pull = control.make_pull(state.new_nonce(), request)
+    deadline = now + state.limits.pull_timeout_ms
+    if request.digest.values == 0:
+        start_fetch(state, address, pull, now)
         return
-    spread.pull = gossip_state.PullUnderWay(pull.nonce, address, deadline)
-    spread.send(address, pull)
+    state.pull = gossip_state.PendingPull(pull.nonce, address, deadline)
+    state.send(address, pull)
 
 
-def fetch(spread: gossip_state.Spread, address: view.Address, pull: control.Pull, now: int) -> None:
+def start_fetch(
+    state: gossip_state.GossipState, address: view.Address, pull: control.Pull, now: int
+) -> None:
     """Send a pull over a websocket."""
-    wait_until = now + WEBSOCKET_TIMEOUTS * spread.limits.pull_timeout
-    spread.pull = gossip_state.PullUnderWay(pull.nonce, address, wait_until)
-    spread.pending.append(gossip_state.Fetch(address, pull, wait_until))
+    wait_until = now + WEBSOCKET_TIMEOUT_FACTOR * state.limits.pull_timeout_ms
+    state.pull = gossip_state.PendingPull(pull.nonce, address, wait_until)
+    state.pending.append(gossip_state.Fetch(address, pull, wait_until))
 
 
-def forget(spread: gossip_state.Spread, now: int) -> None:
+def drop_pull(state: gossip_state.GossipState, now: int) -> None:
     """Drop the pull under way and its peer, and schedule a pull from another peer."""
-    spread.ahead.pop(spread.pull.address, None)
-    spread.pull = None
-    spread.pull_at = now + spread.jitter(spread.limits.pull_jitter)
+    state.peers_ahead.pop(state.pull.address, None)
+    state.pull = None
+    state.pull_at = now + state.jitter(state.limits.pull_jitter_ms)
 
 
 def on_reply(
-    spread: gossip_state.Spread,
+    state: gossip_state.GossipState,
     reply: control.UpdateReply,
     update: configuration.Update,
     now: int,
 ) -> None:
     """Apply an update, even a late one: joining never reverts an entry."""
-    before = spread.configuration.digest
-    changes = spread.configuration.apply(update)
-    if changes or spread.configuration.digest != before:
-        spread.note_changes(changes, now)
-    spread.note_fresh(reply.fresh_as_of, now)
-    if spread.pull is not None and spread.pull.nonce == reply.nonce:
-        spread.pull = None
-        spread.pull_at = now
+    before = state.configuration.digest
+    changes = state.configuration.apply(update)
+    if changes or state.configuration.digest != before:
+        state.note_changes(changes, now)
+    state.note_platform_confirmed(reply.platform_confirmed_at, now)
+    if state.pull is not None and state.pull.nonce == reply.nonce:
+        state.pull = None
+        state.pull_at = now
 
 
-def on_too_large(spread: gossip_state.Spread, nonce: int, now: int) -> None:
+def on_too_large(state: gossip_state.GossipState, nonce: int, now: int) -> None:
     """Repeat the pull over a websocket."""
-    if spread.pull is not None and spread.pull.nonce == nonce:
-        pull = control.make_pull(nonce, spread.configuration.wanted())
-        fetch(spread, spread.pull.address, pull, now)
+    if state.pull is not None and state.pull.nonce == nonce:
+        pull = control.make_pull(nonce, state.configuration.pull_request())
+        start_fetch(state, state.pull.address, pull, now)
 
 
-def on_failed(spread: gossip_state.Spread, nonce: int, now: int) -> None:
+def on_failed(state: gossip_state.GossipState, nonce: int, now: int) -> None:
     """Drop the failed pull and schedule one from another peer."""
-    if spread.pull is not None and spread.pull.nonce == nonce:
-        forget(spread, now)
+    if state.pull is not None and state.pull.nonce == nonce:
+        drop_pull(state, now)
 
 
-def on_busy(spread: gossip_state.Spread, busy: control.Busy, now: int) -> None:
+def on_busy(state: gossip_state.GossipState, busy: control.Busy, now: int) -> None:
     """Turn to the peers named by a busy one; a starting process may know only its seeds."""
-    if spread.pull is None or spread.pull.nonce != busy.nonce:
+    if state.pull is None or state.pull.nonce != busy.nonce:
         return
-    digest = spread.ahead.get(spread.pull.address)
-    forget(spread, now)
+    digest = state.peers_ahead.get(state.pull.address)
+    drop_pull(state, now)
     if digest is not None:
-        for address in busy.others:
-            note_ahead(spread, address, digest, now)
+        for address in busy.alternatives:
+            note_peer_ahead(state, address, digest, now)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Prepared:
+class PreparedAnswer:
     """An answer to a pull, not yet packed; packing may be done in any thread."""
 
     pull: control.Pull
     caught_up: bool
-    fresh_as_of: int
+    platform_confirmed_at: int
     update: configuration.Update
 
 
-def prepare(spread: gossip_state.Spread, pull: control.Pull, now: int) -> Prepared | control.Busy:
+def prepare_answer(
+    state: gossip_state.GossipState, pull: control.Pull, now: int
+) -> PreparedAnswer | control.Busy:
     """Return the answer to a pull, or a refusal if the budget does not allow it."""
-    update = spread.configuration.update_for(control.wanted_of(pull))
-    size = estimate(update)
-    if not spread.update_budget.take(size, now):
-        return busy(spread, pull, size, now)
-    return Prepared(pull, spread.caught_up, spread.fresh_as_of, update)
+    update = state.configuration.update_for(control.pull_request_of(pull))
+    size = estimate_bytes(update)
+    if not state.update_budget.take(size, now):
+        return make_busy(state, pull, size, now)
+    return PreparedAnswer(pull, state.is_caught_up, state.platform_confirmed_at, update)
 
 
-def estimate(update: configuration.Update) -> int:
+def estimate_bytes(update: configuration.Update) -> int:
     """Return the approximate packed size of an update; its values are already compressed."""
     values = sum(KEY_BYTES + len(entry.value or b"") for _, entry in update.values.entries)
     names = len(update.values.names or ()) + len(update.instances.names or ())
     return values + INSTANCE_BYTES * len(update.instances.entries) + KEY_BYTES * names
 
 
-def finish(prepared: Prepared) -> control.UpdateReply:
+def pack_answer(prepared: PreparedAnswer) -> control.UpdateReply:
     """Return the prepared answer, packed."""
     packed = control.pack_update(prepared.update)
     return control.UpdateReply(
-        prepared.pull.nonce, prepared.caught_up, prepared.fresh_as_of, packed
+        prepared.pull.nonce, prepared.caught_up, prepared.platform_confirmed_at, packed
     )
 
 
-def serve(
-    spread: gossip_state.Spread, pull: control.Pull, now: int
+def answer_datagram(
+    state: gossip_state.GossipState, pull: control.Pull, now: int
 ) -> control.UpdateReply | control.TooLarge | control.Busy:
     """Return the answer to a pull that arrived as a datagram, or a refusal if it does not fit."""
-    update = spread.configuration.update_for(control.wanted_of(pull))
-    if estimate(update) > DATAGRAM_ESTIMATE:
+    update = state.configuration.update_for(control.pull_request_of(pull))
+    if estimate_bytes(update) > MAX_DATAGRAM_ESTIMATE_BYTES:
         return control.TooLarge(pull.nonce)
-    reply = finish(Prepared(pull, spread.caught_up, spread.fresh_as_of, update))
-    if len(reply.update) > control.DATAGRAM_BYTES:
+    reply = pack_answer(
+        PreparedAnswer(pull, state.is_caught_up, state.platform_confirmed_at, update)
+    )
+    if len(reply.update) > control.MAX_DATAGRAM_UPDATE_BYTES:
         return control.TooLarge(pull.nonce)
-    if not spread.update_budget.take(len(reply.update), now):
-        return busy(spread, pull, len(reply.update), now)
+    if not state.update_budget.take(len(reply.update), now):
+        return make_busy(state, pull, len(reply.update), now)
     return reply
 
 
-def busy(spread: gossip_state.Spread, pull: control.Pull, size: int, now: int) -> control.Busy:
+def make_busy(
+    state: gossip_state.GossipState, pull: control.Pull, size: int, now: int
+) -> control.Busy:
     """Return the refusal of a pull, with other peers to ask."""
-    names = membership.pick(spread.balancers, OTHERS, spread.randomness, set())
-    others = (spread.membership.address_of(n) for n in names if spread.membership.usable(n))
-    return control.Busy(pull.nonce, spread.update_budget.ready_at(size, now), tuple(others))
+    names = membership.pick_random(state.balancers, MAX_ALTERNATIVES, state.randomness, set())
+    others = (state.membership.address_of(n) for n in names if state.membership.is_usable(n))
+    return control.Busy(pull.nonce, state.update_budget.ready_at(size, now), tuple(others))
--- a/src/ebonystile/core/control/store.py
+++ b/src/ebonystile/core/control/store.py
@@ -51,7 +51,7 @@
     entries: dict[str, Entry] = dataclasses.field(default_factory=dict)
     tombstones: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def wants(self, key: str, entry: Entry) -> bool:
+    def is_newer(self, key: str, entry: Entry) -> bool:
         """Tell whether the entry is newer than what is known of its key.
 
         An unknown key at or below the floor has been deleted and its tombstone dropped: taking it
@@ -64,12 +64,12 @@
 
     def put(self, key: str, entry: Entry) -> bool:
         """Keep the entry if it is newer than what is known of its key."""
-        if not self.wants(key, entry):
+        if not self.is_newer(key, entry):
             return False
-        self.keep(key, entry)
+        self.set_entry(key, entry)
         return True
 
-    def keep(self, key: str, entry: Entry) -> None:
+    def set_entry(self, key: str, entry: Entry) -> None:
         """Set a key's entry whatever is known of it."""
         self.entries[key] = entry
         self.tombstones.pop(key, None)
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -2,8 +2,8 @@
 
 The watchers of a zone are chosen by rendezvous hashing of its known balancers with a slowly
 changing epoch. There is no election; where two processes disagree, both watch, which is harmless.
-Every beat carries the time of the platform's last confirmation (`fresh_as_of`). As it grows old,
-more processes become watchers, by rank and with jitter: twice as many every `stale` ms, up to a
+Every gossip message carries the time of the platform's last confirmation. As it grows old, more
+processes become watchers, by rank and with jitter: twice as many every `stale_after_ms`, up to a
 bound. This replaces watchers that are dead, stalled or partitioned, without a storm of calls during
 an outage of the platform.
 """
@@ -18,19 +18,21 @@
 STREAMS = (VALUES, INSTANCES)
 
 
-def rank_of_self(spread: gossip_state.Spread, now: int) -> int:
+def own_rank(state: gossip_state.GossipState, now: int) -> int:
     """Return the number of balancers of the zone that rank above this process in this epoch."""
-    if now < spread.rank_at:
-        return spread.rank
-    epoch = now // spread.limits.epoch
-    spread.rank_at = min(now + gossip_state.ROSTER_MS, (epoch + 1) * spread.limits.epoch)
-    own_weight = weight(spread.membership.own.name, epoch)
-    spread.rank = sum(
+    if now < state.rank_expires_at:
+        return state.rank
+    epoch = now // state.limits.epoch_ms
+    state.rank_expires_at = min(
+        now + gossip_state.PEERS_REFRESH_MS, (epoch + 1) * state.limits.epoch_ms
+    )
+    own_weight = weight(state.membership.own.name, epoch)
+    state.rank = sum(
         weight(name, epoch) > own_weight
-        for name in spread.zone_mates
-        if spread.membership.usable(name)
+        for name in state.zone_peers
+        if state.membership.is_usable(name)
     )
-    return spread.rank
+    return state.rank
 
 
 def weight(name: str, epoch: int) -> int:
@@ -38,113 +40,115 @@
     return xxhash.xxh3_64_intdigest(name.encode(), seed=epoch)
 
 
-def may_watch(spread: gossip_state.Spread) -> bool:
+def can_watch(state: gossip_state.GossipState) -> bool:
     """Return whether this process may be a watcher: sidecars only if no balancer is known."""
-    return spread.is_balancer or not spread.balancers
+    return state.is_balancer or not state.balancers
 
 
-def on_tick(spread: gossip_state.Spread, now: int) -> None:
+def on_tick(state: gossip_state.GossipState, now: int) -> None:
     """Time out old calls and start those that are due."""
-    for stream in spread.streams.values():
-        if stream.calling_until and now >= stream.calling_until:
+    for stream in state.streams.values():
+        if stream.call_deadline and now >= stream.call_deadline:
             # The shell reported no result in time: a stalled executor must not stop all calls.
-            on_failed(spread, stream.name, now)
-    wait = duty(spread, now)
+            on_failed(state, stream.name, now)
+    wait = watch_duration_ms(state, now)
     if wait is None:
         return
-    answered = spread.catch_up.platform if spread.catch_up is not None else {}
-    for stream in spread.streams.values():
+    answered = state.catch_up.platform if state.catch_up is not None else {}
+    for stream in state.streams.values():
         if answered.get(stream.name):
             continue
-        if not stream.calling_until and now >= stream.next_at:
-            call(spread, stream, wait, now)
+        if not stream.call_deadline and now >= stream.next_at:
+            start_call(state, stream, wait, now)
 
 
-def duty(spread: gossip_state.Spread, now: int) -> int | None:
+def watch_duration_ms(state: gossip_state.GossipState, now: int) -> int | None:
     """Return how long calls by this process should wait for changes (ms), or None for no calls."""
-    limits = spread.limits
-    if spread.catch_up is not None:
+    limits = state.limits
+    if state.catch_up is not None:
         return 0
-    stale_for = now - spread.fresh_as_of - limits.stale
-    if may_watch(spread):
-        rank = rank_of_self(spread, now)
+    stale_for = now - state.platform_confirmed_at - limits.stale_after_ms
+    if can_watch(state):
+        rank = own_rank(state, now)
         if rank < limits.watchers:
-            return limits.watch
-        if now < spread.promoted_until:
-            return limits.watch
-        if now - max(spread.others_fresh, spread.started_at) > patience(spread, rank):
-            spread.promoted_until = now + limits.promotion + spread.jitter(limits.promotion)
-            spread.trace("watch_taken_over", rank=rank, stale_ms=now - spread.others_fresh)
-            return limits.watch
-        if now - spread.heard_at > limits.stale:
-            return limits.solo_wait
-    if stale_for > 0 and now >= spread.solo_at:
-        if spread.solo_at:
-            spread.solo_at = now + solo_gap(spread) + spread.jitter(limits.solo_gap)
+            return limits.watch_ms
+        if now < state.promoted_until:
+            return limits.watch_ms
+        if now - max(state.peers_confirmed_at, state.started_at) > takeover_age_ms(state, rank):
+            state.promoted_until = now + limits.promotion_ms + state.jitter(limits.promotion_ms)
+            state.trace("watch_taken_over", rank=rank, stale_ms=now - state.peers_confirmed_at)
+            return limits.watch_ms
+        if now - state.received_at > limits.stale_after_ms:
+            return limits.solo_watch_ms
+    if stale_for > 0 and now >= state.solo_call_at:
+        if state.solo_call_at:
+            state.solo_call_at = now + solo_interval_ms(state) + state.jitter(limits.solo_gap_ms)
             return 0
-        spread.solo_at = now + spread.jitter(solo_gap(spread))
+        state.solo_call_at = now + state.jitter(solo_interval_ms(state))
     return None
 
 
-def patience(spread: gossip_state.Spread, rank: int) -> float:
+def takeover_age_ms(state: gossip_state.GossipState, rank: int) -> float:
     """Return the age of the last confirmation (ms) at which a process of this rank takes over."""
-    limits = spread.limits
-    if rank >= limits.watchers_most:
+    limits = state.limits
+    if rank >= limits.max_watchers:
         return math.inf
-    return limits.stale * (1 + math.log2(1 + (rank - limits.watchers) / limits.watchers))
+    return limits.stale_after_ms * (1 + math.log2(1 + (rank - limits.watchers) / limits.watchers))
 
 
-def solo_gap(spread: gossip_state.Spread) -> int:
+def solo_interval_ms(state: gossip_state.GossipState) -> int:
     """Return the least interval of one process's calls (ms) that keeps to the fleet's rate."""
-    fleet = len(spread.balancers) + len(spread.sidecars) + 1
-    return max(spread.limits.solo_gap, fleet * 1000 // spread.limits.solo_rate)
+    fleet = len(state.balancers) + len(state.sidecars) + 1
+    return max(state.limits.solo_gap_ms, fleet * 1000 // state.limits.max_solo_calls_per_s)
 
 
-def call(spread: gossip_state.Spread, stream: gossip_state.Stream, wait: int, now: int) -> None:
+def start_call(
+    state: gossip_state.GossipState, stream: gossip_state.Stream, wait: int, now: int
+) -> None:
     """Ask the platform for the changes after the known revision."""
     stream.called_at = now
-    stream.calling_until = now + wait + spread.limits.call_margin
-    spread.pending.append(
-        gossip_state.WatchPlatform(stream.name, known(spread, stream.name), now + wait)
+    stream.call_deadline = now + wait + state.limits.call_margin_ms
+    state.pending.append(
+        gossip_state.WatchPlatform(stream.name, known_revision(state, stream.name), now + wait)
     )
 
 
-def known(spread: gossip_state.Spread, name: str) -> int:
+def known_revision(state: gossip_state.GossipState, name: str) -> int:
     """Return the revision up to which the stream is complete."""
-    digest = spread.configuration.digest
+    digest = state.configuration.digest
     return digest.values if name == VALUES else digest.instances
 
 
 def on_read(
-    spread: gossip_state.Spread, name: str, delta: store.Delta, more: bool, now: int
+    state: gossip_state.GossipState, name: str, delta: store.Delta, more: bool, now: int
 ) -> None:
     """Handle an answer; one of a revision below the known one counts as a failure.
 
     It comes from a replica that lags. Counted as a success, it would confirm the configuration
     although no watcher can read the newer values.
     """
-    stream = spread.streams[name]
-    if delta.complete < known(spread, name):
-        spread.trace("platform_older", stream=name, shown=delta.complete)
-        on_failed(spread, name, now)
+    stream = state.streams[name]
+    if delta.complete < known_revision(state, name):
+        state.trace("platform_older", stream=name, shown=delta.complete)
+        on_failed(state, name, now)
         return
-    stream.calling_until = 0
+    stream.call_deadline = 0
     stream.failures = 0
-    gap = spread.limits.call_gap if name == VALUES else spread.limits.instances_gap
+    gap = state.limits.call_gap_ms if name == VALUES else state.limits.instances_gap_ms
     stream.next_at = now if more else max(now, stream.called_at + gap)
     if more:
         return
     stream.confirmed_at = now
-    confirmed = min(s.confirmed_at for s in spread.streams.values())
-    spread.own_fresh = max(spread.own_fresh, confirmed)
-    spread.fresh_as_of = max(spread.fresh_as_of, confirmed)
+    confirmed = min(s.confirmed_at for s in state.streams.values())
+    state.own_confirmed_at = max(state.own_confirmed_at, confirmed)
+    state.platform_confirmed_at = max(state.platform_confirmed_at, confirmed)
 
 
-def on_failed(spread: gossip_state.Spread, name: str, now: int) -> None:
+def on_failed(state: gossip_state.GossipState, name: str, now: int) -> None:
     """Delay the next call by exponential backoff with jitter."""
-    limits = spread.limits
-    stream = spread.streams[name]
-    stream.calling_until = 0
-    pause = min(limits.backoff_most, limits.backoff_least << min(stream.failures, 10))
+    limits = state.limits
+    stream = state.streams[name]
+    stream.call_deadline = 0
+    pause = min(limits.max_backoff_ms, limits.min_backoff_ms << min(stream.failures, 10))
     stream.failures += 1
-    stream.next_at = now + pause // 2 + spread.jitter(pause)
+    stream.next_at = now + pause // 2 + state.jitter(pause)
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -63,7 +63,7 @@
         self.on_behind = on_behind
         self.notice = notice
         self.bulk_seal = seal.make_seal(config.keys, incarnation)
-        self.core = gossip.make_spread(
+        self.core = gossip.make_state(
             config.name,
             role,
             config.address,
@@ -115,7 +115,7 @@
         Every datagram shows its sender's revision: a higher one than ours leads to a pull.
         """
         if opened.revision > self.core.configuration.digest.values:
-            self.take(gossip.Shown(source, opened.revision))
+            self.take(gossip.RevisionSeen(source, opened.revision))
         if not opened.content or opened.content[0] >> 5 != CBOR_ARRAY:
             return False
         self.take(gossip.Arrived(source, control.CONTROL.decode(opened.content)))
@@ -146,13 +146,13 @@
             prepared = future.result(SERVE_S)
         except TimeoutError as error:
             raise errors.PeerError("the core is busy", step="answer pull", peer="core") from error
-        reply = prepared if isinstance(prepared, control.Busy) else pulling.finish(prepared)
+        reply = prepared if isinstance(prepared, control.Busy) else pulling.pack_answer(prepared)
         return self.bulk_seal.seal(control.CONTROL.to_items(reply))
 
     def prepare(self, pull: control.Pull, future: concurrent.futures.Future) -> None:
         """Have the core put an answer together, in the owner thread."""
         try:
-            future.set_result(pulling.prepare(self.core, pull, clock.now()))
+            future.set_result(pulling.prepare_answer(self.core, pull, clock.now()))
         except Exception as error:
             # The asking thread reports it; the owner thread must go on.
             future.set_exception(error)
@@ -221,9 +221,9 @@
 def make_limits(config: settings.ProcessSettings) -> gossip_state.Limits:
     """Return the core's bounds as the settings give them."""
     return gossip_state.Limits(
-        exchange=config.exchange_ms,
-        watch=config.watch_ms,
-        instances_gap=config.instances_poll_ms,
+        exchange_ms=config.exchange_ms,
+        watch_ms=config.watch_ms,
+        instances_gap_ms=config.instances_poll_ms,
     )
 
 
@@ -252,14 +252,14 @@
 
 
 @carry_out.register
-def _(effect: gossip_state.InForce, shell):
+def _(effect: gossip_state.ViewInForce, shell):
     newest = shell.core.configuration.view
     shell.seal.revision = newest.revision
     shell.on_view(newest)
 
 
 @carry_out.register
-def _(effect: gossip_state.FellBehind, shell):
+def _(effect: gossip_state.ViewStale, shell):
     shell.on_behind()
 
 
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -17,17 +17,17 @@
 MAX_UPDATE_BYTES = 24 << 20
 """Most bytes of one update before compression: far more than the target size needs."""
 
-DATAGRAM_BYTES = 1_200
+MAX_DATAGRAM_UPDATE_BYTES = 1_200
 """Largest update sent as a datagram; larger ones would be cut into fragments on the way."""
 
 Address = tuple[str, int]
 
-News = tuple[str, str, Address, str, int, int]
+PackedStatement = tuple[str, str, Address, str, int, int]
 """A statement on a process: name, role, address, zone, generation, state."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Beat:
+class Gossip:
     """Say who one is, how far one's configuration is, and some news of others.
 
     `fresh_as_of` is the newest time (ms) known at which a watcher had the platform's word that
@@ -35,14 +35,14 @@
     """
 
     KIND: typing.ClassVar[int] = 64
-    sender: News
+    sender: PackedStatement
     nonce: int
     answers: int
     values: int
     instances: int
-    fresh_as_of: int
+    platform_confirmed_at: int
     caught_up: bool
-    news: tuple[News, ...]
+    updates: tuple[PackedStatement, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     KIND: typing.ClassVar[int] = 66
     nonce: int
     caught_up: bool
-    fresh_as_of: int
+    platform_confirmed_at: int
     update: bytes
 
 
@@ -82,7 +82,7 @@
     KIND: typing.ClassVar[int] = 68
     nonce: int
     retry_at: int
-    others: tuple[Address, ...]
+    alternatives: tuple[Address, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     address: Address
 
 
-Message = Beat | Pull | UpdateReply | TooLarge | Busy | ProbeFor
+Message = Gossip | Pull | UpdateReply | TooLarge | Busy | ProbeFor
 
 CONTROL = codec.Codec("control", typing.get_args(Message))
 
@@ -112,19 +112,19 @@
 )
 
 
-def make_pull(nonce: int, wanted: configuration.Wanted) -> Pull:
-    """Return the question for what `wanted` lacks."""
-    return Pull(nonce, wanted.digest.values, wanted.digest.instances, wanted.lacking)
+def make_pull(nonce: int, request: configuration.PullRequest) -> Pull:
+    """Return the question for what `request` lacks."""
+    return Pull(nonce, request.digest.values, request.digest.instances, request.lacking)
 
 
-def wanted_of(pull: Pull) -> configuration.Wanted:
+def pull_request_of(pull: Pull) -> configuration.PullRequest:
     """Return what the asking process has."""
-    return configuration.Wanted(
+    return configuration.PullRequest(
         configuration.Digest(pull.values, pull.instances), tuple(pull.lacking)
     )
 
 
-def pack_statement(statement: membership.Statement) -> News:
+def pack_statement(statement: membership.Statement) -> PackedStatement:
     """Return a statement as it goes over the wire."""
     return (
         statement.name,
@@ -136,13 +136,13 @@
     )
 
 
-def unpack_statement(news: News) -> membership.Statement:
+def unpack_statement(packed: PackedStatement) -> membership.Statement:
     """Return the statement; raise `DatagramError` for an unknown state."""
     try:
-        told = membership.State(news[5])
+        told = membership.MemberState(packed[5])
     except ValueError as error:
-        raise errors.DatagramError(str(error), step="read news", peer=news[0]) from error
-    return membership.Statement(*news[:5], told)
+        raise errors.DatagramError(str(error), step="read news", peer=packed[0]) from error
+    return membership.Statement(*packed[:5], told)
 
 
 def pack_update(update: configuration.Update) -> bytes:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -98,7 +98,7 @@
     new = configuration.Configuration()
     feed(new, ("services/1", 2, services(line={})))
     assert new.view.services == {}
-    new.apply(old.update_for(new.wanted()))
+    new.apply(old.update_for(new.pull_request()))
     assert state(new) == state(old)
     assert "line" in new.view.services
 
@@ -119,10 +119,10 @@
 def test_what_an_instance_says_goes_before_the_list():
     conf = configuration.Configuration()
     list_instances(conf, 1, upstream("u1"))
-    conf.say("u1", upstream("u1", leaving=True))
+    conf.set_override("u1", upstream("u1", leaving=True))
     list_instances(conf, 2, upstream("u1"))
     assert [e.leaving for e in conf.view.endpoints.values()] == [True]
-    conf.say("u1", None)
+    conf.set_override("u1", None)
     assert [e.leaving for e in conf.view.endpoints.values()] == [False]
 
 
@@ -150,12 +150,12 @@
     conf = configuration.Configuration()
     behind = configuration.Configuration()
     feed(conf, *((f"labels/{i}", i, labels(**{f"u{i}": {}})) for i in range(1, 7)))
-    behind.apply(conf.update_for(behind.wanted()))
+    behind.apply(conf.update_for(behind.pull_request()))
     feed(conf, *((f"labels/{i}", i + 10, None) for i in range(1, 6)))
     assert len(conf.values.entries) == 3
-    update = conf.update_for(behind.wanted())
+    update = conf.update_for(behind.pull_request())
     assert sorted(update.values.names) == ["labels/4", "labels/5", "labels/6"]
-    stale = behind.update_for(configuration.Wanted())
+    stale = behind.update_for(configuration.PullRequest())
     behind.apply(update)
     assert state(behind) == state(conf)
     conf.apply(stale)
@@ -172,19 +172,19 @@
     feed(peer, ("services/b", 2, services(photo={"app": "p"})))
     new = configuration.Configuration()
     feed(new, ("services/a", 3, services(line={})), ("services/b", 4, services(photo={})))
-    new.apply(peer.update_for(new.wanted()))
+    new.apply(peer.update_for(new.pull_request()))
     assert set(new.view.services) == {"line", "photo"}
 
 
 def test_update_comes_in_parts_that_fit_a_message(monkeypatch):
-    monkeypatch.setattr(configuration, "UPDATE_BYTES", 100)
+    monkeypatch.setattr(configuration, "MAX_UPDATE_VALUES_BYTES", 100)
     conf = configuration.Configuration()
     feed(conf, *((f"labels/{i}", i, labels(**{f"u{i}": {}})) for i in range(1, 9)))
     list_instances(conf, 5, upstream("u3"))
     new = configuration.Configuration()
     parts = 0
-    while new.digest.behind(conf.digest):
-        new.apply(conf.update_for(new.wanted()))
+    while new.digest.is_behind(conf.digest):
+        new.apply(conf.update_for(new.pull_request()))
         parts += 1
     assert state(new) == state(conf)
     assert 2 < parts < 9
@@ -221,7 +221,7 @@
         copies = [read_at(history, cut) for cut in cuts]
         for i, j in [(order[0], order[1]), (order[1], order[2]), (order[2], order[0])] * 2:
             before = {k: e.revision for k, e in copies[i].values.entries.items()}
-            copies[i].apply(copies[j].update_for(copies[i].wanted()))
+            copies[i].apply(copies[j].update_for(copies[i].pull_request()))
             for key, revision in before.items():
                 assert copies[i].values.entries[key].revision >= revision
         results.append([state(c) for c in copies])
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -42,7 +42,7 @@
 
 def beat(state=0, news=()):
     sender = ("b9", "balancer", ("10.0.0.9", 7000), "umea", 5, state)
-    return control.Beat(sender, 0, 0, 1, 1, 0, True, news)
+    return control.Gossip(sender, 0, 0, 1, 1, 0, True, news)
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
     with pytest.raises(errors.DatagramError):
         gossip.decide(node.core, gossip.Arrived(("10.0.0.9", 7000), message), made.now)
     assert (node.core.configuration.digest, node.core.membership.members) == before
-    assert node.core.caught_up
+    assert node.core.is_caught_up
 
 
 @given(st.binary(max_size=200))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -41,7 +41,9 @@
         """Return the answer to a pull from scratch: whether caught up, and the revision."""
         key = seal.Key(1, bytes.fromhex(self.system.key))
         own = seal.Seal([key], incarnation=clock.now())
-        question = own.seal(control.CONTROL.to_items(control.make_pull(1, configuration.Wanted())))
+        question = own.seal(
+            control.CONTROL.to_items(control.make_pull(1, configuration.PullRequest()))
+        )
         try:
             address = ("127.0.0.1", entry.port)
             answer = bulk.exchange(address, "/control", question, clock.now() + 2_000)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -156,7 +156,7 @@
     assert f.run(30 * SECOND, lambda: f.everyone(revision))
     f.run(60 * SECOND)
     assert all(
-        a.core.membership.usable(b.core.membership.own.name)
+        a.core.membership.is_usable(b.core.membership.own.name)
         for a in f.names.values()
         for b in f.names.values()
     )
@@ -242,16 +242,16 @@
     f.run(5 * SECOND)
     new = f.add("b5", ZONES[2], seeds=["b0", "b1"])
     f.run(60 * SECOND)
-    assert old.core.membership.superseded
+    assert old.core.membership.is_superseded
     assert len(traced(old, "superseded")) == 1
-    assert not new.core.membership.superseded
+    assert not new.core.membership.is_superseded
     assert f.names["b0"].core.membership.address_of("b5") == new.core.membership.own.address
 
 
 def test_revision_on_a_packet_of_the_data_path_leads_to_a_pull():
     f = make_fleet(3)
     node = f.names["b1"]
-    effects = gossip.decide(node.core, gossip.Shown(("10.0.0.1", 1), 99), f.now)
+    effects = gossip.decide(node.core, gossip.RevisionSeen(("10.0.0.1", 1), 99), f.now)
     effects += gossip.decide(node.core, gossip.Tick(), f.now + 150)
     pulls = [e for e in effects if isinstance(e, gossip_state.SendMessage)]
     assert [e.address for e in pulls if e.message.KIND == 65] == [("10.0.0.1", 1)]
