--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -289,12 +289,15 @@
             return
         before = self.fleet.upstreams.get(name)
         self.fleet.put(upstream)
-        if before is None or (before.born, before.leaving) != (upstream.born, upstream.leaving):
+        if before is None or (before.started_at, before.leaving) != (
+            upstream.started_at,
+            upstream.leaving,
+        ):
             self.log.event(
                 "upstream",
                 upstream=name,
                 service=upstream.service,
-                born=upstream.born,
+                born=upstream.started_at,
                 leaving=upstream.leaving,
                 revision=item.revision,
             )
@@ -302,7 +305,7 @@
     def remove(self, name: str, reason: str, now: int) -> None:
         """Drop an upstream; only after a grace period if an outage may have lost its entry."""
         returned_at = now if self.reader.failures else self.reader.returned_at
-        keep_until = returned_at + fleet.RETURN_MS if returned_at else 0
+        keep_until = returned_at + fleet.RELIST_GRACE_MS if returned_at else 0
         gone = self.fleet.remove(name, now, keep_until)
         self.log.event("upstream_gone", upstream=name, reason=reason, at_once=gone)
 
--- a/src/ebonystile/core/carrying/announcing.py
+++ b/src/ebonystile/core/carrying/announcing.py
@@ -158,7 +158,7 @@
 def note(known: fleet.Fleet, address: view.Address, until: int) -> None:
     """Add a sidecar without an entry to the upstreams that may be alive, until a time in ms."""
     host, port = address
-    known.note_departed(fleet.make_upstream(f"{host}:{port}", 0, "", address, "", 1), until)
+    known.note_unlisted(fleet.make_upstream(f"{host}:{port}", 0, "", address, "", 1), until)
 
 
 def answer(known: fleet.Fleet, listening: int) -> messages.AnswerUnlisted:
@@ -167,6 +167,6 @@
     If there are more than fit, `listening` is 0 in the answer: it must not confirm the balancer's
     view, or flows at the sidecars left out would be reset.
     """
-    told = [upstream.address for upstream in known.perhaps_alive()]
+    told = [upstream.address for upstream in known.unlisted()]
     heard_all = len(told) <= MOST_TOLD
     return messages.AnswerUnlisted(listening if heard_all else 0, tuple(told[-MOST_TOLD:]))
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -57,7 +57,7 @@
             return self.begin(received, home, now)
         if self.current.routes.find(received.flow) is None:
             return self.without_route(received)
-        if not self.fleet.lives(home.upstream) and now >= home.checked_until:
+        if not self.fleet.is_listed(home.upstream) and now >= home.checked_until:
             return self.begin(received, home, now)
         home.seen_at = now
         return [effects.Send(home.upstream.address, messages.Carry(received.raw))]
--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -155,7 +155,7 @@
 
     def patience(self, found: flow_search.Search) -> int:
         """Return the time in ms until which a search waits for outstanding answers."""
-        if any(self.fleet.lives(upstream) for upstream in found.awaited()):
+        if any(self.fleet.is_listed(upstream) for upstream in found.awaited()):
             return found.give_up_at
         return min(found.give_up_at, found.asked_at + flow_search.UNLISTED_MS)
 
@@ -165,7 +165,7 @@
         Those without an entry are left out: most of them have ended, and a search doesn't wait for
         them.
         """
-        return [upstream for upstream in found.unanswered() if self.fleet.lives(upstream)]
+        return [upstream for upstream in found.unanswered() if self.fleet.is_listed(upstream)]
 
     def end(self, found: flow_search.Search) -> list[effects.Effect]:
         """End a search; the caller's next packet may begin another one."""
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -50,7 +50,9 @@
     """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
     names = known.current.services_of(flow)
-    likely = [u for name in names for u in placing.order(flow, known.fleet.of(name), known.zone)]
+    likely = [
+        u for name in names for u in placing.order(flow, known.fleet.upstreams_of(name), known.zone)
+    ]
     begun = flow_search.Search(flow, "", [received], [], started_at=now, due=now)
     first = likely[: flow_search.FIRST_WAVE] if known.finding < asking.FINDING_SINGLY else []
     if first:
@@ -70,7 +72,7 @@
     of lost flows don't wait for them.
     """
     since = known.silent_since
-    alive = known.fleet.perhaps_alive()
+    alive = known.fleet.unlisted()
     return [u for u in alive if now - since.get(u.address, now) < GONE_AFTER_MS]
 
 
@@ -116,7 +118,7 @@
     entry. Otherwise a second search `CONFIRM_MS` later must also fail: an upstream that holds
     the flow and left the first probe unanswered acknowledges the second.
     """
-    if found.previous is not None and not known.fleet.lives(found.previous.upstream):
+    if found.previous is not None and not known.fleet.is_listed(found.previous.upstream):
         return True
     if found.revision > known.revision:
         return False
--- a/src/ebonystile/core/carrying/fleet.py
+++ b/src/ebonystile/core/carrying/fleet.py
@@ -9,14 +9,14 @@
 
 from ebonystile.core import view
 
-RETURN_MS = 2_300
+RELIST_GRACE_MS = 2_300
 """How long entries lost in an outage of the store are kept after its return, in ms.
 
 A running upstream publishes its entry again within about 2 s of the return. Dropping the entries
 earlier would cut callers off from upstreams that work.
 """
 
-DEPARTED_MS, MAX_DEPARTED = 60_000, 256
+UNLISTED_TTL_MS, MAX_UNLISTED = 60_000, 256
 """How long, and how many, upstreams are remembered after the loss of their entries.
 
 An upstream cut off from the store still serves its flows, so it is asked before an open flow is
@@ -28,47 +28,58 @@
 class Upstream:
     """One incarnation of an upstream, from its start to its end.
 
-    `address` is that of its sidecar. `born`, the time of its start in ms since the epoch,
-    distinguishes incarnations of the same `name`. `warm_at` is the end of its slow start in ms of
-    this process's clock. `listed_at` is the store's revision that created the entry; it orders
-    incarnations whose entries give no time of start.
+    `address` is that of its sidecar. `started_at`, the time of its start in ms since the epoch,
+    distinguishes incarnations of the same `name`. `slow_start_until` is the end of its slow start
+    in ms of this process's clock. `created_revision` is the store's revision that created the
+    entry; it orders incarnations whose entries give no time of start.
     """
 
     name: str
-    born: int
+    started_at: int
     service: str
     address: view.Address
     zone: str
     slots: int
     leaving: bool
-    warm_at: int
+    slow_start_until: int
     key: int
-    listed_at: int = 0
+    created_revision: int = 0
 
     @property
-    def boot(self) -> tuple[str, int]:
+    def incarnation(self) -> tuple[str, int]:
         """Return the identity of this incarnation of the upstream."""
-        return (self.name, self.born)
+        return (self.name, self.started_at)
 
 
 def make_upstream(
     name: str,
-    born: int,
+    started_at: int,
     service: str,
     address: view.Address,
     zone: str,
     slots: int,
     *,
     leaving: bool = False,
-    warm_at: int = 0,
-    listed_at: int = 0,
+    slow_start_until: int = 0,
+    created_revision: int = 0,
 ) -> Upstream:
     """Return an upstream with its ranking key.
 
     The key is derived from the sidecar's address, so a restart of the upstream changes no ranking.
     """
     key = view.key_of(f"{address[0]}:{address[1]}")
-    return Upstream(name, born, service, address, zone, slots, leaving, warm_at, key, listed_at)
+    return Upstream(
+        name,
+        started_at,
+        service,
+        address,
+        zone,
+        slots,
+        leaving,
+        slow_start_until,
+        key,
+        created_revision,
+    )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,49 +90,50 @@
     by_service: dict[str, list[Upstream]]
 
 
-def make_index(upstreams: typing.Iterable[Upstream]) -> Index:
+def index_upstreams(upstreams: typing.Iterable[Upstream]) -> Index:
     """Return the index of the upstreams; of those with the same address it keeps the youngest.
 
     An address may be reused while the entry of its former upstream has not expired. Keeping both
     would send packets of one service to an upstream of another. Without times of start the most
     recently created entry wins, since an upstream that has ended creates no entries.
     """
-    by_address = {u.address: u for u in sorted(upstreams, key=age)}
+    by_address = {u.address: u for u in sorted(upstreams, key=start_order)}
     by_service: dict[str, list[Upstream]] = {}
     for upstream in by_address.values():
         by_service.setdefault(upstream.service, []).append(upstream)
     return Index(by_address, by_service)
 
 
-def age(upstream: Upstream) -> tuple[int, int, str]:
+def start_order(upstream: Upstream) -> tuple[int, int, str]:
     """Return the sort key that orders upstreams by their start, the oldest first."""
-    return (upstream.born, upstream.listed_at, upstream.name)
+    return (upstream.started_at, upstream.created_revision, upstream.name)
 
 
 class Fleet:
     """The known upstreams by name, the drained availability zones, and the region of each zone.
 
-    `fading` holds the time in ms at which an upstream without an entry is dropped, `departed` the
-    dropped ones that may still be running. `added` counts the upstreams added.
+    `expiring` holds the time in ms at which an upstream without an entry is dropped,
+    `unlisted_until` the dropped ones that may still be running. `added_count` counts the upstreams
+    added.
     """
 
     def __init__(self) -> None:
         self.drained: set[str] = set()
         self.regions: dict[str, str] = {}
         self.upstreams: dict[str, Upstream] = {}
-        self.fading: dict[str, int] = {}
-        self.departed: dict[view.Address, tuple[Upstream, int]] = {}
-        self.indexed: Index | None = None
-        self.added = 0
+        self.expiring: dict[str, int] = {}
+        self.unlisted_until: dict[view.Address, tuple[Upstream, int]] = {}
+        self.cached_index: Index | None = None
+        self.added_count = 0
 
     def put(self, upstream: Upstream) -> None:
         """Add an upstream by its published entry, or update it."""
-        self.fading.pop(upstream.name, None)
+        self.expiring.pop(upstream.name, None)
         if self.upstreams.get(upstream.name) == upstream:
             return
-        self.added += upstream.name not in self.upstreams
+        self.added_count += upstream.name not in self.upstreams
         self.upstreams[upstream.name] = upstream
-        self.indexed = None
+        self.cached_index = None
 
     def remove(self, name: str, now: int, keep_until: int = 0) -> bool:
         """Remove an upstream that has lost its entry; return whether it was removed.
@@ -131,23 +143,23 @@
         if name not in self.upstreams:
             return False
         if keep_until > now:
-            self.fading.setdefault(name, keep_until)
+            self.expiring.setdefault(name, keep_until)
             return False
         gone = self.upstreams.pop(name)
-        self.fading.pop(name, None)
-        self.indexed = None
-        self.note_departed(gone, now + DEPARTED_MS)
+        self.expiring.pop(name, None)
+        self.cached_index = None
+        self.note_unlisted(gone, now + UNLISTED_TTL_MS)
         return True
 
-    def note_departed(self, upstream: Upstream, until: int) -> None:
+    def note_unlisted(self, upstream: Upstream, until: int) -> None:
         """Record, until a time in ms, that an upstream without an entry may be running."""
-        if len(self.departed) < MAX_DEPARTED or upstream.address in self.departed:
-            self.departed[upstream.address] = (upstream, until)
+        if len(self.unlisted_until) < MAX_UNLISTED or upstream.address in self.unlisted_until:
+            self.unlisted_until[upstream.address] = (upstream, until)
 
     def expire(self, now: int) -> list[str]:
         """Remove the upstreams whose grace period is over; return their names."""
-        self.departed = {a: d for a, d in self.departed.items() if d[1] > now}
-        over = [name for name, until in self.fading.items() if until <= now]
+        self.unlisted_until = {a: d for a, d in self.unlisted_until.items() if d[1] > now}
+        over = [name for name, until in self.expiring.items() if until <= now]
         for name in over:
             self.remove(name, now)
         return over
@@ -155,39 +167,39 @@
     @property
     def index(self) -> "Index":
         """Return the index, rebuilt on the first use after a change."""
-        if self.indexed is None:
-            self.indexed = make_index(self.upstreams.values())
-        return self.indexed
+        if self.cached_index is None:
+            self.cached_index = index_upstreams(self.upstreams.values())
+        return self.cached_index
 
     @property
     def by_address(self) -> dict[view.Address, Upstream]:
         """Return the upstreams by their sidecars' addresses."""
         return self.index.by_address
 
-    def of(self, service: str) -> typing.Sequence[Upstream]:
+    def upstreams_of(self, service: str) -> typing.Sequence[Upstream]:
         """Return the upstreams of a service."""
         return self.index.by_service.get(service, ())
 
-    def willing(self, service: str, regions: typing.Sequence[str] = ()) -> list[Upstream]:
+    def accepting(self, service: str, regions: typing.Sequence[str] = ()) -> list[Upstream]:
         """Return the upstreams of a service that accept new flows, in `regions` if given."""
         drained = self.drained
-        willing = [u for u in self.of(service) if not u.leaving and u.zone not in drained]
-        return [u for u in willing if self.within(u.zone, regions)] if regions else willing
+        members = [u for u in self.upstreams_of(service) if not u.leaving and u.zone not in drained]
+        return [u for u in members if self.is_in_regions(u.zone, regions)] if regions else members
 
-    def within(self, zone: str, regions: typing.Sequence[str]) -> bool:
+    def is_in_regions(self, zone: str, regions: typing.Sequence[str]) -> bool:
         """Return whether a zone lies in one of the regions, or no regions are given."""
         return not regions or self.regions.get(zone) in regions
 
-    def perhaps_alive(self) -> list[Upstream]:
+    def unlisted(self) -> list[Upstream]:
         """Return the upstreams without an entry whose address no listed upstream has taken."""
-        return [gone for a, (gone, _) in self.departed.items() if a not in self.by_address]
+        return [gone for a, (gone, _) in self.unlisted_until.items() if a not in self.by_address]
 
     def predecessor(self, upstream: Upstream) -> Upstream | None:
         """Return an older listed upstream at the same address, or None."""
         others = (u for u in self.upstreams.values() if u.address == upstream.address)
-        return next((u for u in others if age(u) < age(upstream)), None)
+        return next((u for u in others if start_order(u) < start_order(upstream)), None)
 
-    def lives(self, upstream: Upstream) -> bool:
+    def is_listed(self, upstream: Upstream) -> bool:
         """Return whether this incarnation of the upstream is listed."""
         known = self.upstreams.get(upstream.name)
-        return known is not None and known.born == upstream.born
+        return known is not None and known.started_at == upstream.started_at
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -34,7 +34,7 @@
     known: balancer_state.State, received: packet.Packet, service: str, now: int
 ) -> flow_search.Search:
     """Return a search for an upstream that accepts a new flow."""
-    willing = known.fleet.willing(service, known.current.routes.regions_of(received.flow))
+    willing = known.fleet.accepting(service, known.current.routes.regions_of(received.flow))
     heard = [u for u in willing if u.address not in known.silence]
     near, far = placing.split(heard or willing, known.zone)
     flow = received.flow
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -129,7 +129,7 @@
 ) -> float:
     """Return the load per slot with one more flow, increased for a cold or slow upstream."""
     cost = (load.running + 1 + load.flows * flow_work) / max(1, load.slots)
-    if now < upstream.warm_at:
+    if now < upstream.slow_start_until:
         cost *= COLD_WORK
     if usual and load.latency > SLOW * usual:
         cost *= load.latency / usual
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -28,7 +28,7 @@
     """
     # A probe carries the caller's data, which must stay in the route's regions.
     regions = known.current.routes.regions_of(found.flow)
-    unknown = [u for u in unknown if known.fleet.within(u.zone, regions)]
+    unknown = [u for u in unknown if known.fleet.is_in_regions(u.zone, regions)]
     if not found.probed:
         unknown = unknown[: flow_search.FIRST_WAVE]
     elif not known.view_confirmed(now):
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -119,14 +119,16 @@
         may arrive before the entry, and the upstream returns packets of flows of an earlier start.
         """
         own = self.own
-        if self.fleet.added != self.known_added:
-            self.known_added = self.fleet.added
+        if self.fleet.added_count != self.known_added:
+            self.known_added = self.fleet.added_count
             self.grown_at = now
         if self.view_fresh and self.first_view is None:
             self.first_view = frozenset(self.fleet.upstreams)
         if own is None or own.service != self.service or self.first_view is None:
             return
-        if (self.listed is None or own.boot != self.listed.boot) and self.is_new(own, now):
+        if (self.listed is None or own.incarnation != self.listed.incarnation) and self.is_new(
+            own, now
+        ):
             self.saw_start = True
         self.listed = own
 
@@ -141,7 +143,7 @@
         So after a power loss of all instances every sidecar knows at once that earlier flows are
         gone, and no upstream is probed for each of them.
         """
-        if now >= own.warm_at:
+        if now >= own.slow_start_until:
             return False
         return own.name not in self.first_view or self.fleet.predecessor(own) is not None
 
@@ -151,7 +153,7 @@
         Its entry is gone, and it has sent nothing for `LOST_MS` after a packet of the flow. An
         upstream that is only cut off from the store still answers, and keeps its flows.
         """
-        if not self.view_fresh or self.listed is None or self.fleet.lives(self.listed):
+        if not self.view_fresh or self.listed is None or self.fleet.is_listed(self.listed):
             return False
         if not record.delivered_at or self.heard_at >= record.delivered_at:
             record.delivered_at = now
@@ -188,7 +190,7 @@
         """Return whether the limit for cold upstreams admits one more new flow."""
         own = self.own
         slow_start = self.current.routes.warm_up_of(self.service)
-        return self.slow_start.has_capacity(slow_start, own.warm_at if own else None, now)
+        return self.slow_start.has_capacity(slow_start, own.slow_start_until if own else None, now)
 
     def refusal(self) -> messages.Reason | None:
         """Return why the upstream accepts no new flows, or None if it does."""
@@ -428,7 +430,7 @@
         route = known.find(received.flow)
         if route is None or sidecar.service not in route.services:
             return messages.Reason.NO_ROUTE
-        if not sidecar.fleet.within(sidecar.zone, route.regions):
+        if not sidecar.fleet.is_in_regions(sidecar.zone, route.regions):
             return messages.Reason.OTHER_REGION
     if received.flow in sidecar.table.flows:
         return None
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -145,8 +145,8 @@
         body.zone,
         body.max_concurrency,
         leaving=body.state == "draining",
-        warm_at=now + int(body.warmup_left_ms) if body.warmup_left_ms else 0,
-        listed_at=item.created,
+        slow_start_until=now + int(body.warmup_left_ms) if body.warmup_left_ms else 0,
+        created_revision=item.created,
     )
 
 
--- a/tests/carrier/test_shell.py
+++ b/tests/carrier/test_shell.py
@@ -20,4 +20,4 @@
         log=types.SimpleNamespace(event=lambda *arguments, **fields: None),
     )
     shell.Shell.reload(running)
-    assert known.within("b", ("south",)) and not known.within("a", ("south",))
+    assert known.is_in_regions("b", ("south",)) and not known.is_in_regions("a", ("south",))
--- a/tests/carrying/faults.py
+++ b/tests/carrying/faults.py
@@ -66,7 +66,9 @@
     node.upstream.restart()
     if node.address in day.entry_of:
         entry = day.entry_of[node.address]
-        day.entry(node, born=entry.born + 1_000, leaving=False, warm_at=day.now + 500)
+        day.entry(
+            node, started_at=entry.started_at + 1_000, leaving=False, slow_start_until=day.now + 500
+        )
         day.spread(node)
 
 
@@ -177,7 +179,7 @@
     node.upstream = world.ends.Upstream(f"u{number}", 1_000_000 * number)
     node.core.service = service
     day.entry_of[node.address] = world.fleet.make_upstream(
-        f"u{number}", day.now, service, node.address, node.zone, 2, warm_at=day.now + 500
+        f"u{number}", day.now, service, node.address, node.zone, 2, slow_start_until=day.now + 500
     )
     day.restart_process(node)
     day.spread(node)
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -183,7 +183,7 @@
     def replace(self, node: world.Node) -> None:
         """End an upstream with its instance, and start another one elsewhere."""
         self.end(node)
-        self.add_upstream(node.zone, "s", warm_at=self.now + 500)
+        self.add_upstream(node.zone, "s", slow_start_until=self.now + 500)
         added = self.sidecars[-1]
         added.core.current.replace(self.sidecars[0].core.current.routes)
         self.spread(added)
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -41,7 +41,7 @@
     del scene.entry_of[node.address]
     restart_everything(scene, upstreams=upstreams)
     for other in scene.everyone():
-        other.core.fleet.departed.clear()
+        other.core.fleet.unlisted_until.clear()
 
 
 def test_callers_learn_of_flows_lost_with_everything_within_half_a_second():
--- a/tests/carrying/test_fleet.py
+++ b/tests/carrying/test_fleet.py
@@ -16,13 +16,13 @@
 def test_an_upstream_without_an_entry_may_live_on_for_a_minute():
     known = fleet.Fleet()
     known.put(made())
-    assert known.perhaps_alive() == []
+    assert known.unlisted() == []
     known.remove("u1", 1_000)
-    assert not known.of("s") and names(known.perhaps_alive()) == ["u1"]
-    known.expire(1_000 + fleet.DEPARTED_MS - 1)
-    assert names(known.perhaps_alive()) == ["u1"]
-    known.expire(1_000 + fleet.DEPARTED_MS)
-    assert known.perhaps_alive() == []
+    assert not known.upstreams_of("s") and names(known.unlisted()) == ["u1"]
+    known.expire(1_000 + fleet.UNLISTED_TTL_MS - 1)
+    assert names(known.unlisted()) == ["u1"]
+    known.expire(1_000 + fleet.UNLISTED_TTL_MS)
+    assert known.unlisted() == []
 
 
 def test_whoever_has_taken_its_address_shows_that_it_is_gone():
@@ -31,19 +31,19 @@
     known.put(made())
     known.remove("u1", 1_000)
     known.put(made("u2", "t"))
-    assert known.perhaps_alive() == []
+    assert known.unlisted() == []
     known.expire(1_001)
     known.remove("u2", 1_002)
-    assert names(known.perhaps_alive()) == ["u2"]
+    assert names(known.unlisted()) == ["u2"]
 
 
 def test_few_are_remembered_after_a_whole_fleet_has_gone():
     known = fleet.Fleet()
-    for number in range(fleet.MAX_DEPARTED + 50):
+    for number in range(fleet.MAX_UNLISTED + 50):
         known.put(made(f"u{number}", address=(f"10.{number // 250}.0.{number % 250}", 7720)))
-    for number in range(fleet.MAX_DEPARTED + 50):
+    for number in range(fleet.MAX_UNLISTED + 50):
         known.remove(f"u{number}", 1_000)
-    assert len(known.perhaps_alive()) == fleet.MAX_DEPARTED
+    assert len(known.unlisted()) == fleet.MAX_UNLISTED
 
 
 def test_of_two_starts_at_one_address_the_one_listed_last_holds():
@@ -54,7 +54,7 @@
     """
     for first, second in (("a", "b"), ("b", "a")):
         known = fleet.Fleet()
-        known.put(fleet.make_upstream(second, 0, "t", ADDRESS, "a", 2, listed_at=9))
-        known.put(fleet.make_upstream(first, 0, "s", ADDRESS, "a", 2, listed_at=4))
-        assert names(known.of("t")) == [second]
-        assert names(known.of("s")) == []
+        known.put(fleet.make_upstream(second, 0, "t", ADDRESS, "a", 2, created_revision=9))
+        known.put(fleet.make_upstream(first, 0, "s", ADDRESS, "a", 2, created_revision=4))
+        assert names(known.upstreams_of("t")) == [second]
+        assert names(known.upstreams_of("s")) == []
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -88,7 +88,7 @@
     """
     scene = world.World(upstreams=2)
     node = scene.sidecars[0]
-    scene.entry(node, warm_at=scene.now + 2_000)
+    scene.entry(node, slow_start_until=scene.now + 2_000)
     scene.restart_sidecar(node)
     assert node.core.incomplete(scene.now)
 
@@ -242,7 +242,7 @@
     scene.known()
     scene.restart_balancer(scene.balancers[0])
     gone = fleet.make_upstream("unlisted", 0, "s", home.address, "a", 1)
-    scene.balancers[0].core.fleet.note_departed(gone, scene.now + 10 * SECOND)
+    scene.balancers[0].core.fleet.note_unlisted(gone, scene.now + 10 * SECOND)
     scene.ask(caller, b"again")
     scene.run(400)
     assert caller.resets == 0 and caller.answer.endswith(b"again")
@@ -297,7 +297,7 @@
     scene = world.World(zones=("a",), upstreams=30, balancers=1)
     caller = scene.open()
     lose_everything(scene)
-    known = scene.balancers[0].core.fleet.of("s")
+    known = scene.balancers[0].core.fleet.upstreams_of("s")
     slow = placing.order(caller.flow, known, "a")[0].address
     scene.delays = lambda step, origin, target: [
         flow_search.WAVE_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -348,13 +348,13 @@
     known = fleet.Fleet()
     made = fleet.make_upstream("u1", 1, "s", ("10.0.1.1", 7720), "a", 2)
     known.put(made)
-    assert not known.remove("u1", 1_000, keep_until=1_000 + fleet.RETURN_MS)
-    assert known.of("s")
+    assert not known.remove("u1", 1_000, keep_until=1_000 + fleet.RELIST_GRACE_MS)
+    assert known.upstreams_of("s")
     known.put(made)
     assert known.expire(4_000) == []
     assert not known.remove("u1", 5_000, keep_until=5_500)
     assert known.expire(5_500) == ["u1"]
-    assert not known.of("s")
+    assert not known.upstreams_of("s")
 
 
 def test_after_the_loss_of_everything_questions_stay_few_and_new_flows_open_at_once():
@@ -369,7 +369,7 @@
         node.upstream.restart()
         scene.restart_sidecar(node)
         new = "new-" + scene.entry_of[node.address].name
-        scene.entry(node, name=new, warm_at=scene.now + 2_000)
+        scene.entry(node, name=new, slow_start_until=scene.now + 2_000)
     scene.restart_balancer(scene.balancers[0])
     scene.known()
     scene.sent.clear()
@@ -396,7 +396,7 @@
     node = scene.sidecars[0]
     scene.restart_sidecar(node)
     assert node.core.incomplete(scene.now)
-    scene.entry(node, name="u9", warm_at=scene.now + 2_000)
+    scene.entry(node, name="u9", slow_start_until=scene.now + 2_000)
     scene.known()
     assert not node.core.incomplete(scene.now)
 
@@ -504,7 +504,7 @@
     [node] = scene.sidecars
     node.upstream.restart()
     scene.restart_sidecar(node)
-    scene.entry(node, name="new", warm_at=scene.now + 2_000)
+    scene.entry(node, name="new", slow_start_until=scene.now + 2_000)
     scene.known(scene.balancers)
     caller = scene.open(through=scene.balancers[0])
     scene.known([node])
@@ -586,7 +586,7 @@
     """
     scene = world.World(zones=("a",), upstreams=30, balancers=2)
     flow = packet.end_of("100.64.0.7", 40_001) + packet.end_of(*world.ROUTE)
-    known = scene.balancers[0].core.fleet.of("s")
+    known = scene.balancers[0].core.fleet.upstreams_of("s")
     first = [u.address for u in placing.order(flow, known, "a")[: flow_search.FIRST_WAVE]]
     for address in first:
         scene.entry(scene.nodes[address], leaving=True)
--- a/tests/carrying/test_placing.py
+++ b/tests/carrying/test_placing.py
@@ -32,7 +32,7 @@
 
 def test_an_upstream_that_has_just_started_counts_as_busier():
     load = messages.Load(1, 0, 2)
-    warm, cold = upstream(1), upstream(2, warm_at=1_000)
+    warm, cold = upstream(1), upstream(2, slow_start_until=1_000)
     costs = [s.cost for s in placing.compare([(warm, load), (cold, load)], "a", 500)]
     assert costs[1] > costs[0]
     costs = [s.cost for s in placing.compare([(warm, load), (cold, load)], "a", 1_000)]
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -22,7 +22,7 @@
 def cool(scene, *nodes):
     """Let upstreams be in their first seconds, by their entries."""
     for node in nodes:
-        scene.entry(node, warm_at=scene.now + LENGTH)
+        scene.entry(node, slow_start_until=scene.now + LENGTH)
     scene.known()
 
 
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -145,8 +145,10 @@
         former = self.entry_of[node.address]
         self.lapsing.append(former)
         node.upstream.restart()
-        name, listed_at = f"{former.name}-again", former.listed_at + 1
-        self.entry(node, name=name, listed_at=listed_at, warm_at=self.now + warm_ms)
+        name, created_revision = f"{former.name}-again", former.created_revision + 1
+        self.entry(
+            node, name=name, created_revision=created_revision, slow_start_until=self.now + warm_ms
+        )
         self.restart_sidecar(node)
 
     def later(self, delay, action, *arguments):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -486,8 +486,8 @@
     Mutation(
         "the younger of two entries holds",
         CORE + "carrying/fleet.py",
-        "return (upstream.born, upstream.listed_at, upstream.name)",
-        "return (upstream.born, upstream.name)",
+        "return (upstream.started_at, upstream.created_revision, upstream.name)",
+        "return (upstream.started_at, upstream.name)",
     ),
     Mutation(
         "no reset by an old view",
@@ -571,7 +571,7 @@
     Mutation(
         "an upstream through with its start is no new one",
         CORE + "carrying/sidecar.py",
-        "if now >= own.warm_at:",
+        "if now >= own.slow_start_until:",
         "if False:",
     ),
     Mutation(
@@ -705,13 +705,13 @@
     Mutation(
         "a sidecar outside the route's regions refuses",
         CORE + "carrying/sidecar.py",
-        "if not sidecar.fleet.within(sidecar.zone, route.regions):",
+        "if not sidecar.fleet.is_in_regions(sidecar.zone, route.regions):",
         "if False:",
     ),
     Mutation(
         "probes stay in the route's regions",
         CORE + "carrying/probing.py",
-        "    unknown = [u for u in unknown if known.fleet.within(u.zone, regions)]\n",
+        "    unknown = [u for u in unknown if known.fleet.is_in_regions(u.zone, regions)]\n",
         "",
     ),
 )
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -46,10 +46,10 @@
 
 def test_an_entry_names_its_upstream():
     made = entries.upstream_of(item(ENTRY), 7720, now=1_000)
-    assert made.name == "i-1" and made.born == 1_764_700_000_000
+    assert made.name == "i-1" and made.started_at == 1_764_700_000_000
     assert made.address == ("10.128.0.9", 7720)
     assert (made.service, made.zone, made.slots) == ("huvo11a", "lulea-a", 2)
-    assert not made.leaving and made.warm_at == 2_500
+    assert not made.leaving and made.slow_start_until == 2_500
 
 
 def test_a_draining_entry_is_leaving():
@@ -110,7 +110,7 @@
         made = entries.upstream_of(item({**ENTRY, field: value}), 1, 0)
     except errors.PlatformError:
         return
-    assert made.slots > 0 and made.born >= 0
+    assert made.slots > 0 and made.started_at >= 0
 
 
 def test_a_configuration_gives_routes_and_their_split():
