--- a/benches/logs.py
+++ b/benches/logs.py
@@ -46,7 +46,7 @@
     unread = microseconds(journal.Journal("balancer", "b-1", writing), REGULAR)
     os.close(reading)
     os.close(writing)
-    most = written * 1e-6 * journal.LINES_PER_S * 100
+    most = written * 1e-6 * journal.MAX_LINES_PER_S * 100
     print(
         json.dumps(
             {
--- a/src/ebonystile/carrier/__main__.py
+++ b/src/ebonystile/carrier/__main__.py
@@ -4,13 +4,13 @@
 import signal
 import sys
 
-REFUSED = 2
+EXIT_INVALID_SETTINGS = 2
 """Exit status for invalid settings or an invalid command line."""
 
 
 def main(arguments: list[str]) -> int:
     """Run the daemon that the command line names and return its exit status."""
-    mind_signals()
+    install_signal_handlers()
     from ebonystile import errors
     from ebonystile.platform import node
 
@@ -19,11 +19,11 @@
         make_daemon(arguments, settings).run()
     except errors.EbonystileError as error:
         print(f"error: {error}", file=sys.stderr)
-        return REFUSED
+        return EXIT_INVALID_SETTINGS
     return 0
 
 
-def mind_signals() -> None:
+def install_signal_handlers() -> None:
     """Install handlers for SIGHUP and SIGTERM before the slow imports.
 
     Until then the default action of SIGHUP would end the process. It is ignored here, as the
--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -11,14 +11,14 @@
 if typing.TYPE_CHECKING:
     from ebonystile import metrics
 
-LEAST_LEAVE_MS = 1_500
+MIN_LEAVE_MS = 1_500
 """Minimum time that a leaving balancer keeps serving, in ms: the fabric checks readiness twice a
 second and removes the balancer after two refusals."""
 
-QUIET_MS = 700
+LEAVE_IDLE_MS = 700
 """Time without a caller's packet after which a leaving balancer stops, in ms."""
 
-MOST_LEAVE_MS = 4_000
+MAX_LEAVE_MS = 4_000
 """Maximum time that a leaving balancer runs, in ms; the platform kills it later."""
 
 
@@ -36,28 +36,28 @@
         self.core.current = self.feed.current
         self.core.fleet = self.feed.fleet
         address = entries.address_of(settings.packets)
-        self.callers = self.loop.listen(address, self.on_caller, shell.BUFFER_BYTES)
+        self.caller_socket = self.loop.listen(address, self.on_caller, shell.BUFFER_BYTES)
         self.caller_port = address[1]
-        self.alarm_at: int | None = None
-        self.caller_at = clock.now()
+        self.timer_at: int | None = None
+        self.last_packet_at = clock.now()
 
-    def add_metrics(self, held: "metrics.Metrics") -> None:
+    def add_metrics(self, registry: "metrics.Metrics") -> None:
         """Register the metrics of a balancer."""
-        held.gauge("homes", "Flows whose home is known.", lambda: len(self.core.homes))
-        held.gauge("searches", "Searches under way.", lambda: len(self.core.searches))
+        registry.gauge("homes", "Flows whose home is known.", lambda: len(self.core.homes))
+        registry.gauge("searches", "Searches under way.", lambda: len(self.core.searches))
 
     def ready(self) -> bool:
         """Return whether packets can be served.
 
         A balancer that reaches no sidecar refuses, so that the fabric uses other balancers.
         """
-        return super().ready() and not self.core.unreachable(clock.now())
+        return super().is_ready() and not self.core.unreachable(clock.now())
 
     def on_view(self) -> None:
         """Pass the changed view of the store to the core."""
         self.core.set_fresh(self.feed.reader.fresh, clock.now())
         self.core.revision = self.feed.reader.revision or 0
-        self.set_alarm()
+        self.set_timer()
 
     def on_caller(self, data: bytes, source: view.Address) -> None:
         """Parse a caller's packet and pass it to the core."""
@@ -66,38 +66,38 @@
             self.counts["packets_refused"] += 1
             return
         self.counts["packets"] += 1
-        self.caller_at = self.loop.now
-        self.carry_out(self.core.on_caller(received, self.loop.now))
-        self.set_alarm()
+        self.last_packet_at = self.loop.now
+        self.apply_effects(self.core.on_caller(received, self.loop.now))
+        self.set_timer()
 
     def on_message(
         self, message: messages.Message, received: packet.Packet | None, source: view.Address
     ) -> None:
         """Pass a message to the core and carry out its effects."""
-        self.carry_out(self.core.on_message(message, received, source, self.loop.now))
-        self.set_alarm()
+        self.apply_effects(self.core.on_message(message, received, source, self.loop.now))
+        self.set_timer()
 
-    def set_alarm(self) -> None:
+    def set_timer(self) -> None:
         """Set a timer for the next search that is due."""
         due = self.core.next_due()
-        if due is not None and (self.alarm_at is None or due < self.alarm_at):
-            self.alarm_at = due
-            self.loop.at(due, self.on_alarm)
+        if due is not None and (self.timer_at is None or due < self.timer_at):
+            self.timer_at = due
+            self.loop.at(due, self.on_timer)
 
-    def on_alarm(self) -> None:
+    def on_timer(self) -> None:
         """Advance the searches that are due."""
-        self.alarm_at = None
-        self.carry_out(self.core.on_due(clock.now()))
-        self.set_alarm()
+        self.timer_at = None
+        self.apply_effects(self.core.on_due(clock.now()))
+        self.set_timer()
 
     def on_tick(self, now: int) -> None:
         """Run the core's periodic work; stop a leaving balancer that gets no more packets."""
-        self.carry_out(self.core.on_tick(now))
+        self.apply_effects(self.core.on_tick(now))
         if self.leaving_since is None:
             return
         left = now - self.leaving_since
-        quiet = now - self.caller_at >= QUIET_MS
-        if left >= MOST_LEAVE_MS or (left >= LEAST_LEAVE_MS and quiet):
+        quiet = now - self.last_packet_at >= LEAVE_IDLE_MS
+        if left >= MAX_LEAVE_MS or (left >= MIN_LEAVE_MS and quiet):
             self.loop.stop()
 
     def on_leave(self) -> None:
@@ -105,4 +105,4 @@
 
     def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
         """Send a packet to the flow's caller."""
-        loop.send(self.callers, raw, (packet.caller_host(flow), self.caller_port))
+        loop.send(self.caller_socket, raw, (packet.caller_host(flow), self.caller_port))
--- a/src/ebonystile/carrier/calls.py
+++ b/src/ebonystile/carrier/calls.py
@@ -11,10 +11,10 @@
 from ebonystile.core import view
 
 RECEIVE_BYTES = 65_536
-MAX_BODY = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 """Largest answer in bytes; a value of the store is at most 1 MB, about twice that as base64."""
 
-KEEPALIVE_IDLE_S, KEEPALIVE_GAP_S, KEEPALIVE_COUNT = 1, 1, 2
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_COUNT = 1, 1, 2
 """TCP keep-alive closes a connection to a dead peer within 3 s."""
 
 USER_TIMEOUT_MS = 1_500
@@ -22,32 +22,32 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
-    """The call in progress: `deadline` of the whole answer, `begin_by` of its first byte (ms)."""
+class PendingCall:
+    """The call in progress; `deadline` and `first_byte_by` are times in ms."""
 
     path: str
     deadline: int
     on_answer: abc.Callable[[int, bytes], None]
     on_failure: abc.Callable[[str], None]
-    begin_by: int | None = None
-    begun: bool = False
+    first_byte_by: int | None = None
+    has_begun: bool = False
     retried: bool = False
 
 
 class Client:
     """A client of one server over one connection, which is reopened after any failure."""
 
-    def __init__(self, owner: loop.Loop, server: view.Address):
-        self.owner = owner
+    def __init__(self, event_loop: loop.Loop, server: view.Address):
+        self.event_loop = event_loop
         self.server = server
         self.socket: socket.socket | None = None
         self.parser: httptools.HttpResponseParser | None = None
-        self.pending: Pending | None = None
+        self.pending: PendingCall | None = None
         self.unsent = b""
         self.body = bytearray()
         self.complete = False
         self.reused = False
-        self.keep = True
+        self.keep_alive = True
 
     def get(
         self,
@@ -55,19 +55,19 @@
         deadline: int,
         on_answer: abc.Callable[[int, bytes], None],
         on_failure: abc.Callable[[str], None],
-        begin_by: int | None = None,
+        first_byte_by: int | None = None,
     ) -> None:
         """Request a path; exactly one of the two callbacks is called, by the deadline (ms).
 
-        The call fails at `begin_by` (ms) if no byte of the answer has arrived by then.
+        The call fails at `first_byte_by` (ms) if no byte of the answer has arrived by then.
         """
-        self.pending = Pending(path, deadline, on_answer, on_failure, begin_by)
-        self.owner.at(deadline, self.check_deadline)
-        if begin_by is not None:
-            self.owner.at(begin_by, self.check_deadline)
-        self.start()
+        self.pending = PendingCall(path, deadline, on_answer, on_failure, first_byte_by)
+        self.event_loop.at(deadline, self.check_deadline)
+        if first_byte_by is not None:
+            self.event_loop.at(first_byte_by, self.check_deadline)
+        self.send_request()
 
-    def start(self) -> None:
+    def send_request(self) -> None:
         """Send the pending call, over a new connection if none is open."""
         self.reused = self.socket is not None
         if self.socket is None:
@@ -77,7 +77,7 @@
         self.complete = False
         host = f"{self.server[0]}:{self.server[1]}"
         self.unsent = f"GET {self.pending.path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
-        self.want(selectors.EVENT_READ | selectors.EVENT_WRITE)
+        self.watch_events(selectors.EVENT_READ | selectors.EVENT_WRITE)
 
     def connect(self) -> None:
         """Open a connection, without waiting for it to be established."""
@@ -86,18 +86,18 @@
         for level, option, value in (
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
             (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_GAP_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT),
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         ):
             self.socket.setsockopt(level, option, value)
         self.socket.connect_ex(self.server)
-        self.owner.selector.register(self.socket, selectors.EVENT_WRITE, self.on_ready)
+        self.event_loop.selector.register(self.socket, selectors.EVENT_WRITE, self.on_ready)
 
-    def want(self, events: int) -> None:
+    def watch_events(self, events: int) -> None:
         """Set the events of the connection that the loop watches for."""
-        self.owner.selector.modify(self.socket, events, self.on_ready)
+        self.event_loop.selector.modify(self.socket, events, self.on_ready)
 
     def on_ready(self) -> None:
         """Send and receive what the connection allows now."""
@@ -110,7 +110,7 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self.lost(error.strerror or str(error))
+            self.on_connection_lost(error.strerror or str(error))
         except httptools.HttpParserError as error:
             self.fail(f"not HTTP: {error}")
 
@@ -119,25 +119,25 @@
         sent = self.socket.send(self.unsent)
         self.unsent = self.unsent[sent:]
         if not self.unsent:
-            self.want(selectors.EVENT_READ)
+            self.watch_events(selectors.EVENT_READ)
 
     def receive(self) -> None:
         """Read and parse the available data."""
         while self.socket is not None:
             data = self.socket.recv(RECEIVE_BYTES)
             if not data:
-                self.lost("connection closed")
+                self.on_connection_lost("connection closed")
                 return
             if self.pending is None:
                 self.close()
                 return
-            self.pending.begun = True
+            self.pending.has_begun = True
             self.parser.feed_data(data)
-            if len(self.body) > MAX_BODY:
+            if len(self.body) > MAX_BODY_BYTES:
                 self.fail("answer too large")
                 return
             if self.complete:
-                self.finish()
+                self.finish_call()
                 return
 
     def on_body(self, data: bytes) -> None:
@@ -148,17 +148,17 @@
         """Record the end of the answer; called by the parser."""
         status = self.parser.get_status_code()
         self.complete = status >= 200
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
 
-    def finish(self) -> None:
+    def finish_call(self) -> None:
         """Pass the complete answer to the caller's callback."""
         done, self.pending = self.pending, None
         status, body = self.parser.get_status_code(), bytes(self.body)
-        if not self.keep:
+        if not self.keep_alive:
             self.close()
         done.on_answer(status, body)
 
-    def lost(self, reason: str) -> None:
+    def on_connection_lost(self, reason: str) -> None:
         """Retry once if the lost connection was reused from an earlier call; else fail.
 
         A server may close an idle connection just as the next call is sent on it. All calls are
@@ -169,7 +169,7 @@
             return
         if self.reused and not self.pending.retried and not self.body:
             self.pending.retried = True
-            self.start()
+            self.send_request()
             return
         self.fail(reason)
 
@@ -185,10 +185,10 @@
         if self.pending is None:
             return
         now = clock.now()
-        begin_by = self.pending.begin_by
+        first_byte_by = self.pending.first_byte_by
         if now >= self.pending.deadline:
             self.fail("no answer in time")
-        elif begin_by is not None and not self.pending.begun and now >= begin_by:
+        elif first_byte_by is not None and not self.pending.has_begun and now >= first_byte_by:
             self.fail("no answer has begun in time")
 
     def cancel(self) -> None:
@@ -199,7 +199,7 @@
     def close(self) -> None:
         """Close the connection."""
         if self.socket is not None:
-            self.owner.selector.unregister(self.socket)
+            self.event_loop.selector.unregister(self.socket)
             self.socket.close()
             self.socket = None
         self.unsent = b""
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -10,22 +10,22 @@
 from ebonystile.core.carrying import fleet, reading, routes, sourcing
 from ebonystile.platform import entries, node, store
 
-HURRY_MS = 300
+CATCH_UP_DELAY_MS = 300
 """Time that the watch has to deliver a version that a peer has shown, in ms, before all is read
 again. Usually it is already on its way."""
 
 
-class Feed:
+class StoreFeed:
     """Makes the calls that the reader asks for and applies the answers to `current` and `fleet`."""
 
     def __init__(
         self,
-        owner: loop.Loop,
+        event_loop: loop.Loop,
         settings: node.Node,
         log: journal.Journal,
         on_change: abc.Callable[[], None],
     ):
-        self.owner = owner
+        self.event_loop = event_loop
         self.internal_port = settings.internal_port
         self.store_address = entries.address_of(settings.store)
         seeds = tuple(
@@ -39,18 +39,18 @@
         self.on_change = on_change
         self.reader = reading.Reader(random.Random(), clock.now())
         self.clients: dict[sourcing.Source, calls.Client] = {}
-        self.relay = relay.Relay(owner, settings.internal, self.is_direct)
+        self.relay = relay.StoreRelay(event_loop, settings.internal, self.is_direct)
         self.call: reading.Call | None = None
         self.current = routes.Current()
         self.fleet = fleet.Fleet()
         self.fleet.regions = settings.regions
         self.revisions: dict[str, int] = {}
-        self.seen: set[str] = set()
+        self.listed_keys: set[str] = set()
         self.list_revision = 0
         self.counts: collections.Counter[str] = collections.Counter()
         self.wanted_version = 0
 
-    def start(self) -> None:
+    def make_next_call(self) -> None:
         """Make the next call now, or set a timer for when it is due."""
         now = clock.now()
         if self.call is not None:
@@ -58,26 +58,30 @@
         source = self.sources.choose(self.reader.complete, now)
         call = self.reader.next_call(now, relay=source is not sourcing.STORE)
         if call is None:
-            self.owner.at(self.reader.next_at, self.start)
+            self.event_loop.at(self.reader.next_at, self.make_next_call)
             return
-        self.use(source)
+        self.switch_to(source)
         self.call = call
         client = self.clients[source]
         path = store.path_of(call, now)
-        client.get(path, call.deadline, self.on_answer, self.on_failure, begin_by=call.begin_by)
+        client.get(
+            path, call.deadline, self.on_answer, self.on_failure, first_byte_by=call.begin_by
+        )
 
-    def use(self, source: sourcing.Source) -> None:
+    def switch_to(self, source: sourcing.Source) -> None:
         """Switch to a source, and close the connection to the previous one."""
         if source != self.source and self.source in self.clients:
             self.clients.pop(self.source).cancel()
         if source != self.source:
-            self.log.event("reads_from", source=text_of(source), before=text_of(self.source))
+            self.log.event(
+                "reads_from", source=source_text(source), before=source_text(self.source)
+            )
         self.source = source
         if source not in self.clients:
             address = self.store_address if source is sourcing.STORE else source
-            self.clients[source] = calls.Client(self.owner, address)
+            self.clients[source] = calls.Client(self.event_loop, address)
 
-    def is_fresh(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether the view is known to match the store."""
         return self.reader.fresh
 
@@ -89,32 +93,32 @@
         """Return whether the store itself is being read and the view is current."""
         return self.source is sourcing.STORE and self.reader.fresh
 
-    def hurry(self, version: int) -> None:
+    def schedule_read(self, version: int) -> None:
         """Schedule a read in case the watch does not deliver a peer's newer version in time."""
         if version <= max(self.wanted_version, self.current.routes.version):
             return
         self.wanted_version = version
-        self.owner.at(clock.now() + HURRY_MS, lambda: self.catch_up(version))
+        self.event_loop.at(clock.now() + CATCH_UP_DELAY_MS, lambda: self.read_if_behind(version))
 
-    def catch_up(self, version: int) -> None:
+    def read_if_behind(self, version: int) -> None:
         """Read all lists again unless the configuration has arrived meanwhile."""
         if version <= self.current.routes.version:
             return
         self.log.event("behind", version=self.current.routes.version, shown=version)
         if self.call is not None and self.call.kind is not reading.Kind.WATCH:
             return
-        self.drop_call()
+        self.cancel_call()
         self.reader.hurry(clock.now())
-        self.start()
+        self.make_next_call()
 
     def reread(self) -> None:
         """Mark the view as stale and read all lists again, as after a pause."""
-        self.drop_call()
+        self.cancel_call()
         self.reader.distrust(clock.now())
         self.on_change()
-        self.start()
+        self.make_next_call()
 
-    def offer(self, address: view.Address) -> None:
+    def add_source(self, address: view.Address) -> None:
         """Add a sidecar as a source, and read from it at once if there is no view yet.
 
         A process that starts during an outage of the store has no other source than its seeds.
@@ -122,9 +126,9 @@
         self.sources.offer(address)
         if not self.reader.complete and self.call is None:
             self.reader.next_at = clock.now()
-            self.start()
+            self.make_next_call()
 
-    def drop_call(self) -> None:
+    def cancel_call(self) -> None:
         """Cancel the call in progress, if any."""
         if self.call is not None:
             self.clients[self.source].cancel()
@@ -138,44 +142,44 @@
             result = store.result_of(call, status, body)
         except errors.PlatformError as error:
             without_store = self.source is sourcing.STORE or status == store.UNAVAILABLE
-            self.note_failure(call, str(error), without_store)
+            self.record_failure(call, str(error), without_store)
             return
         self.counts["store_answered" if self.source is sourcing.STORE else "relay_answered"] += 1
         self.sources.worked(self.source)
         was_failing = self.reader.failing_since
-        self.take(call, result, now)
+        self.apply_result(call, result, now)
         if was_failing is not None:
             self.log.event("store_back", away_ms=now - was_failing)
         self.on_change()
-        self.start()
+        self.make_next_call()
 
     def on_failure(self, reason: str) -> None:
         """Handle a call that failed without an answer."""
         call, self.call = self.call, None
-        self.note_failure(call, reason, self.source is sourcing.STORE)
+        self.record_failure(call, reason, self.source is sourcing.STORE)
 
-    def note_failure(self, call: reading.Call, reason: str, without_store: bool) -> None:
+    def record_failure(self, call: reading.Call, reason: str, without_store: bool) -> None:
         """Record a failed call and retry; log only the first of several failures in a row."""
         now = clock.now()
         self.counts["store_failed" if self.source is sourcing.STORE else "relay_failed"] += 1
         if self.reader.failing_since is None:
-            source = text_of(self.source)
+            source = source_text(self.source)
             self.log.event("store_lost", call=call.kind.value, source=source, reason=reason)
         self.sources.failed(self.source, now)
         others = self.sources.others(self.reader.complete, now)
         self.reader.failed(now, store=without_store, at_once=others)
         self.relay.expire(now)
         self.on_change()
-        self.start()
+        self.make_next_call()
 
-    def take(self, call: reading.Call, result: store.Result, now: int) -> None:
+    def apply_result(self, call: reading.Call, result: store.Result, now: int) -> None:
         """Apply the result of a call to the view and to the relay."""
         if isinstance(result, store.Forgotten):
             self.log.event("history_gone", revision=call.revision)
             self.reader.forgotten(now)
             return
         for item in result.items:
-            self.take_item(item, now)
+            self.apply_item(item, now)
         if isinstance(result, store.Watched):
             from_relay = self.source is not sourcing.STORE
             self.reader.watched(result.revision, bool(result.items), now, relay=from_relay)
@@ -183,21 +187,21 @@
             self.relay.advance(result.revision)
             return
         if not call.after:
-            self.seen = set()
+            self.listed_keys = set()
             self.list_revision = result.revision
-        self.seen.update(item.key for item in result.items)
+        self.listed_keys.update(item.key for item in result.items)
         self.reader.listed(result.revision, result.next_after, now, current=result.current)
         if result.next_after:
             return
         if call.kind is reading.Kind.CONFIGURATION:
-            self.take_back_unlisted()
+            self.end_unlisted_drains()
             return
-        self.drop_unlisted(now)
+        self.drop_missing(now)
         self.sources.refresh(self.fleet)
         self.relay.restart(self.reader.revision)
         self.relay.advance(self.reader.revision)
 
-    def forget_unlisted(self, prefix: str, names: abc.Iterable[str]) -> list[str]:
+    def forget_missing(self, prefix: str, names: abc.Iterable[str]) -> list[str]:
         """Remove from the relay the names that the list just read lacks, and return them.
 
         A relay's list may be older than what this process has read before, so names with a later
@@ -206,36 +210,36 @@
         gone = []
         for name in names:
             key = prefix + name
-            if key in self.seen or self.revisions.get(key, 0) > self.list_revision:
+            if key in self.listed_keys or self.revisions.get(key, 0) > self.list_revision:
                 continue
             self.relay.items.pop(key, None)
             gone.append(name)
         return gone
 
-    def drop_unlisted(self, now: int) -> None:
+    def drop_missing(self, now: int) -> None:
         """Drop the upstreams that a complete list lacks."""
-        for name in self.forget_unlisted(entries.ENTRIES_PREFIX, self.fleet.upstreams):
-            self.remove(name, "unlisted", now)
+        for name in self.forget_missing(entries.ENTRIES_PREFIX, self.fleet.upstreams):
+            self.remove_upstream(name, "unlisted", now)
 
-    def take_back_unlisted(self) -> None:
+    def end_unlisted_drains(self) -> None:
         """End the drain of the zones that a complete list lacks."""
-        for zone in self.forget_unlisted(entries.DRAINED_PREFIX, sorted(self.fleet.drained)):
-            self.take_back(zone, self.list_revision)
+        for zone in self.forget_missing(entries.DRAINED_PREFIX, sorted(self.fleet.drained)):
+            self.end_drain(zone, self.list_revision)
 
-    def take_item(self, item: entries.Item, now: int) -> None:
+    def apply_item(self, item: entries.Item, now: int) -> None:
         """Apply one item, unless a later revision of its key has been applied."""
         if item.revision <= self.revisions.get(item.key, 0):
             return
         self.revisions[item.key] = item.revision
-        self.relay.take(item)
+        self.relay.add_item(item)
         if item.key == entries.CONFIGURATION_KEY:
-            self.take_configuration(item)
+            self.apply_configuration(item)
         elif item.key.startswith(entries.DRAINED_PREFIX):
-            self.take_drained(item)
+            self.apply_drain(item)
         elif item.key.startswith(entries.ENTRIES_PREFIX):
-            self.take_entry(item, now)
+            self.apply_entry(item, now)
 
-    def take_configuration(self, item: entries.Item) -> None:
+    def apply_configuration(self, item: entries.Item) -> None:
         """Put a newer configuration in force; keep the old one if it is malformed."""
         if item.tombstone:
             return
@@ -253,7 +257,7 @@
                 revision=item.revision,
             )
 
-    def take_drained(self, item: entries.Item) -> None:
+    def apply_drain(self, item: entries.Item) -> None:
         """Start or end the drain of the zone that the key names; the value is ignored."""
         try:
             zone = entries.drained_zone_of(item.key)
@@ -262,23 +266,23 @@
             self.log.event("drain_malformed", revision=item.revision, reason=str(error))
             return
         if item.tombstone:
-            self.take_back(zone, item.revision)
+            self.end_drain(zone, item.revision)
         elif zone not in self.fleet.drained:
             self.fleet.drained.add(zone)
             members = sum(u.zone == zone for u in self.fleet.by_address.values())
             self.log.event("zone_drained", zone=zone, upstreams=members, revision=item.revision)
 
-    def take_back(self, zone: str, revision: int) -> None:
+    def end_drain(self, zone: str, revision: int) -> None:
         """End the drain of a zone, so that it gets new flows again."""
         if zone in self.fleet.drained:
             self.fleet.drained.remove(zone)
             self.log.event("zone_taken_back", zone=zone, revision=revision)
 
-    def take_entry(self, item: entries.Item, now: int) -> None:
+    def apply_entry(self, item: entries.Item, now: int) -> None:
         """Add, update or remove an upstream by its entry; a malformed entry removes it."""
         name = item.key.removeprefix(entries.ENTRIES_PREFIX)
         if item.tombstone:
-            self.remove(name, "entry_gone", now)
+            self.remove_upstream(name, "entry_gone", now)
             return
         try:
             upstream = entries.upstream_of(item, self.internal_port, now)
@@ -302,7 +306,7 @@
                 revision=item.revision,
             )
 
-    def remove(self, name: str, reason: str, now: int) -> None:
+    def remove_upstream(self, name: str, reason: str, now: int) -> None:
         """Drop an upstream; only after a grace period if an outage may have lost its entry."""
         returned_at = now if self.reader.failures else self.reader.returned_at
         keep_until = returned_at + fleet.RELIST_GRACE_MS if returned_at else 0
@@ -310,6 +314,6 @@
         self.log.event("upstream_gone", upstream=name, reason=reason, at_once=gone)
 
 
-def text_of(source: sourcing.Source) -> str:
+def source_text(source: sourcing.Source) -> str:
     """Return a source as text for logs."""
     return "store" if source is sourcing.STORE else f"{source[0]}:{source[1]}"
--- a/src/ebonystile/carrier/journal.py
+++ b/src/ebonystile/carrier/journal.py
@@ -11,23 +11,25 @@
 
 from ebonystile import clock, logline
 
-LINES_PER_S = 40
+MAX_LINES_PER_S = 40
 """Maximum lines of one kind of event per second."""
 
-BUFFER_BYTES = 64 << 10
+MAX_BUFFERED_BYTES = 64 << 10
 """Bytes buffered for a reader that does not read; further lines are dropped and counted."""
 
-OUTPUT = 1
+STDOUT_FD = 1
 """File descriptor of standard output."""
 
-RARE = frozenset({"start", "stop", "reload", "store_lost", "store_back", "bug", "configured"})
+UNLIMITED_EVENTS = frozenset(
+    {"start", "stop", "reload", "store_lost", "store_back", "bug", "configured"}
+)
 """Events without a limit: each is a rare change in the state of the process."""
 
 
 class Journal:
     """The log of one process; `left_out` counts the lines never written, by event."""
 
-    def __init__(self, program: str, name: str, descriptor: int = OUTPUT):
+    def __init__(self, program: str, name: str, descriptor: int = STDOUT_FD):
         self.program = program
         self.name = name
         self.descriptor = descriptor
@@ -36,21 +38,21 @@
         self.suppressed: collections.Counter[str] = collections.Counter()
         self.left_out: collections.Counter[str] = collections.Counter()
         self.dropped = 0
-        self.waiting = b""
+        self.buffer = b""
         os.set_blocking(descriptor, False)
 
     def event(self, event: str, **fields: typing.Any) -> None:
         """Log an event with its fields, unless its limit is reached."""
-        self.turn(clock.now())
-        if event not in RARE:
+        self.start_second(clock.now())
+        if event not in UNLIMITED_EVENTS:
             self.written[event] += 1
-            if self.written[event] > LINES_PER_S:
+            if self.written[event] > MAX_LINES_PER_S:
                 self.suppressed[event] += 1
                 self.left_out[event] += 1
                 return
-        self.line(event, fields)
+        self.write_line(event, fields)
 
-    def turn(self, now: int) -> None:
+    def start_second(self, now: int) -> None:
         """Reset the counts when a new second begins, and log how many lines were suppressed."""
         second = now // 1000
         if second == self.second:
@@ -61,9 +63,9 @@
             counts = {**self.suppressed, "no_reader": self.dropped}
             self.suppressed.clear()
             self.dropped = 0
-            self.line("lines_suppressed", {k: v for k, v in counts.items() if v})
+            self.write_line("lines_suppressed", {k: v for k, v in counts.items() if v})
 
-    def line(self, event: str, fields: typing.Mapping[str, typing.Any]) -> None:
+    def write_line(self, event: str, fields: typing.Mapping[str, typing.Any]) -> None:
         """Format one line and write it, or buffer what does not fit."""
         pairs = {
             "time_ms": time.time_ns() // clock.NS_PER_MS,
@@ -73,20 +75,20 @@
             **fields,
         }
         text = " ".join(f"{key}={logline.text_of(value)}" for key, value in pairs.items())
-        if len(self.waiting) > BUFFER_BYTES:
+        if len(self.buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             self.left_out[event] += 1
             return
-        self.waiting += text.encode() + b"\n"
+        self.buffer += text.encode() + b"\n"
         self.flush()
 
     def flush(self) -> None:
         """Write as much as possible; what a full pipe does not take stays buffered."""
         try:
-            written = os.write(self.descriptor, self.waiting)
+            written = os.write(self.descriptor, self.buffer)
         except BlockingIOError:
             return
         except OSError:
             # The reader has closed the pipe, so the error can't be logged.
-            written = len(self.waiting)
-        self.waiting = self.waiting[written:]
+            written = len(self.buffer)
+        self.buffer = self.buffer[written:]
--- a/src/ebonystile/carrier/pages.py
+++ b/src/ebonystile/carrier/pages.py
@@ -18,12 +18,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Page:
+class Response:
     """An HTTP response; `kind` is its content type."""
 
     status: int
     body: bytes = b""
-    kind: str = "text/plain"
+    content_type: str = "text/plain"
 
 
 class Connection:
@@ -36,10 +36,10 @@
         self.path = b""
         self.unsent = b""
         self.requests: list[str] = []
-        self.keep = True
+        self.keep_alive = True
         self.closed = False
         accepted.setblocking(False)
-        server.owner.selector.register(accepted, selectors.EVENT_READ, self.on_ready)
+        server.event_loop.selector.register(accepted, selectors.EVENT_READ, self.on_ready)
 
     def on_ready(self) -> None:
         """Send unsent data, then read and parse new requests."""
@@ -69,23 +69,24 @@
         """Record a complete request; called by the parser."""
         self.requests.append(self.path.decode("latin-1"))
         self.path = b""
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
 
-    def answer(self, page: Page) -> None:
+    def answer(self, response: Response) -> None:
         """Send a response, unless the connection has been closed."""
         if self.closed:
             return
-        keep = "keep-alive" if self.keep else "close"
+        keep = "keep-alive" if self.keep_alive else "close"
         head = (
-            f"HTTP/1.1 {page.status} {REASONS[page.status]}\r\nContent-Type: {page.kind}\r\n"
-            f"Content-Length: {len(page.body)}\r\nConnection: {keep}\r\n\r\n"
+            f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\n"
+            f"Content-Type: {response.content_type}\r\n"
+            f"Content-Length: {len(response.body)}\r\nConnection: {keep}\r\n\r\n"
         )
-        self.unsent += head.encode() + page.body
+        self.unsent += head.encode() + response.body
         self.flush()
 
     def flush(self) -> None:
         """Send as much as the socket buffer takes, the rest when it becomes writable."""
-        selector = self.server.owner.selector
+        selector = self.server.event_loop.selector
         try:
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
         except BlockingIOError:
@@ -102,7 +103,7 @@
         if self.closed:
             return
         self.closed = True
-        self.server.owner.selector.unregister(self.socket)
+        self.server.event_loop.selector.unregister(self.socket)
         self.socket.close()
         self.server.connections.pop(self, None)
 
@@ -112,11 +113,11 @@
 
     def __init__(
         self,
-        owner: loop.Loop,
+        event_loop: loop.Loop,
         address: view.Address,
         on_request: abc.Callable[[Connection, str], None],
     ):
-        self.owner = owner
+        self.event_loop = event_loop
         self.on_request = on_request
         self.connections: dict[Connection, None] = {}
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -128,7 +129,7 @@
         except OSError as error:
             peer = f"{address[0]}:{address[1]}"
             raise errors.PeerError(str(error), step="listen on TCP", peer=peer) from error
-        owner.selector.register(self.socket, selectors.EVENT_READ, self.accept)
+        event_loop.selector.register(self.socket, selectors.EVENT_READ, self.accept)
 
     def accept(self) -> None:
         """Accept a connection; close the oldest if there are too many."""
@@ -143,7 +144,7 @@
 
     def close(self) -> None:
         """Stop accepting connections and close the open ones."""
-        self.owner.selector.unregister(self.socket)
+        self.event_loop.selector.unregister(self.socket)
         self.socket.close()
         for connection in list(self.connections):
             connection.close()
--- a/src/ebonystile/carrier/relay.py
+++ b/src/ebonystile/carrier/relay.py
@@ -16,17 +16,17 @@
 from ebonystile.core import view
 from ebonystile.platform import entries, store
 
-HISTORY = 2_000
+MAX_HISTORY_ITEMS = 2_000
 """Changes kept for watches from older revisions; older ones must read the lists again."""
 
 PAGE_ITEMS = 500
 """Items in one page of a list, as in the store's answers."""
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class PendingWatch:
     """A watch that is open until a change after `revision` or until `deadline` (ms)."""
 
     connection: pages.Connection
@@ -34,23 +34,23 @@
     deadline: int
 
 
-class Relay:
+class StoreRelay:
     """The items that this process has read, and the open watches of other processes.
 
     `is_direct` returns whether this process is reading the store itself and its view is current.
     """
 
     def __init__(
-        self, owner: loop.Loop, address: view.Address, is_direct: abc.Callable[[], bool]
+        self, event_loop: loop.Loop, address: view.Address, is_direct: abc.Callable[[], bool]
     ) -> None:
-        self.owner = owner
+        self.event_loop = event_loop
         self.is_direct = is_direct
         self.items: dict[str, entries.Item] = {}
-        self.history: collections.deque[entries.Item] = collections.deque(maxlen=HISTORY)
+        self.history: collections.deque[entries.Item] = collections.deque(maxlen=MAX_HISTORY_ITEMS)
         self.revision = 0
         self.floor = 0
-        self.waiting: list[Waiting] = []
-        self.server = pages.Server(owner, address, self.on_request)
+        self.pending_watches: list[PendingWatch] = []
+        self.server = pages.Server(event_loop, address, self.on_request)
 
     def restart(self, revision: int) -> None:
         """Restart the history at the revision of a list; watches from before it get 410."""
@@ -58,95 +58,101 @@
         self.floor = revision
         self.revision = max(self.revision, revision)
 
-    def take(self, item: entries.Item) -> None:
+    def add_item(self, item: entries.Item) -> None:
         """Add a changed item to the copy and the history."""
         if item.tombstone:
             self.items.pop(item.key, None)
         else:
             self.items[item.key] = item
-        if len(self.history) == HISTORY:
+        if len(self.history) == MAX_HISTORY_ITEMS:
             self.floor = self.history[0].revision
         self.history.append(item)
 
     def advance(self, revision: int) -> None:
-        """Set the revision up to which the copy is complete, and answer the watches it concerns."""
+        """Set the revision up to which the copy is complete, and answer watches from before it."""
         self.revision = max(self.revision, revision)
-        waiting, self.waiting = self.waiting, []
+        watches, self.pending_watches = self.pending_watches, []
         # Most watches start from the same revision, so each answer is encoded once.
-        answers = {asked: self.answer_to(asked) for asked in {one.revision for one in waiting}}
-        for one in waiting:
-            self.answer_or_wait(one, answers[one.revision])
+        answers = {
+            after: self.watch_answer(after) for after in {watch.revision for watch in watches}
+        }
+        for watch in watches:
+            self.answer_or_keep(watch, answers[watch.revision])
 
     def expire(self, now: int) -> None:
         """Answer the watches past their deadline, and all of them once the store is lost."""
-        if not self.waiting:
+        if not self.pending_watches:
             return
         direct = self.is_direct()
-        over = [w for w in self.waiting if not direct or w.deadline <= now]
-        self.waiting = [w for w in self.waiting if direct and w.deadline > now]
-        for one in over:
-            one.connection.answer(self.news(one.revision) if direct else pages.Page(503))
+        ended = [w for w in self.pending_watches if not direct or w.deadline <= now]
+        self.pending_watches = [w for w in self.pending_watches if direct and w.deadline > now]
+        for watch in ended:
+            watch.connection.answer(
+                self.changes_since(watch.revision) if direct else pages.Response(503)
+            )
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
         """Answer a list or watch request of another process."""
         path, _, query = target.partition("?")
-        fields = fields_of(query)
+        fields = parse_query(query)
         if path == store.WATCH_PATH:
             now = clock.now()
-            wait = number(fields.get("wait_ms"))
+            wait = parse_int(fields.get("wait_ms"))
             deadline = now + wait
-            revision = number(fields.get("after"))
-            self.answer_or_wait(Waiting(connection, revision, deadline), self.answer_to(revision))
-            self.owner.at(deadline, lambda: self.expire(clock.now()))
+            revision = parse_int(fields.get("after"))
+            self.answer_or_keep(
+                PendingWatch(connection, revision, deadline), self.watch_answer(revision)
+            )
+            self.event_loop.at(deadline, lambda: self.expire(clock.now()))
         elif path == store.RANGE_PATH:
-            connection.answer(self.page(fields.get("prefix", ""), fields.get("after", "")))
+            connection.answer(self.list_page(fields.get("prefix", ""), fields.get("after", "")))
         else:
-            connection.answer(pages.Page(404))
+            connection.answer(pages.Response(404))
 
-    def answer_or_wait(self, one: Waiting, answer: pages.Page | None) -> None:
+    def answer_or_keep(self, watch: PendingWatch, answer: pages.Response | None) -> None:
         """Send the answer of a watch, or keep the watch open if there is none yet."""
         if answer is None:
-            self.waiting.append(one)
+            self.pending_watches.append(watch)
         else:
-            one.connection.answer(answer)
+            watch.connection.answer(answer)
 
-    def answer_to(self, revision: int) -> pages.Page | None:
+    def watch_answer(self, revision: int) -> pages.Response | None:
         """Return the answer to a watch from this revision, None if nothing has changed since."""
         if not self.is_direct():
-            return pages.Page(503)
+            return pages.Response(503)
         if revision < self.floor:
-            return pages.Page(410)
+            return pages.Response(410)
         if any(item.revision > revision for item in self.history):
-            return self.news(revision)
+            return self.changes_since(revision)
         return None
 
-    def news(self, revision: int) -> pages.Page:
+    def changes_since(self, revision: int) -> pages.Response:
         """Return the answer with the changes after a revision."""
         changed = [item for item in self.history if item.revision > revision]
-        return json_page(entries.News(changed, max(revision, self.revision)))
+        return json_response(entries.News(changed, max(revision, self.revision)))
 
-    def page(self, prefix: str, after: str) -> pages.Page:
+    def list_page(self, prefix: str, after: str) -> pages.Response:
         """Return a page of the items whose keys begin with `prefix` and sort behind `after`."""
         if not self.revision:
-            return pages.Page(503)
+            return pages.Response(503)
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
         items = [self.items[key] for key in keys[:PAGE_ITEMS]]
         more = len(keys) > PAGE_ITEMS
-        return json_page(entries.Page(items, self.revision, more, self.is_direct()))
+        return json_response(entries.Page(items, self.revision, more, self.is_direct()))
 
 
-def fields_of(query: str) -> dict[str, str]:
+def parse_query(query: str) -> dict[str, str]:
     """Return the fields of a query string; `urllib.parse` is imported late for a faster start."""
     import urllib.parse
 
     return dict(urllib.parse.parse_qsl(query))
 
 
-def number(text: str | None) -> int:
+def parse_int(text: str | None) -> int:
     """Return the integer in a query field, 0 if it is missing or malformed."""
     return int(text) if text and text.isascii() and text.isdigit() and len(text) < 20 else 0
 
 
-def json_page(body: msgspec.Struct) -> pages.Page:
+def json_response(body: msgspec.Struct) -> pages.Response:
     """Return an answer with this body as JSON."""
-    return pages.Page(200, msgspec.json.encode(body), JSON)
+    return pages.Response(200, msgspec.json.encode(body), JSON_CONTENT_TYPE)
--- a/src/ebonystile/carrier/report.py
+++ b/src/ebonystile/carrier/report.py
@@ -20,7 +20,7 @@
 LOAD_AFTER_MS = 5_000
 """Delay of the metrics import after the start, in ms; recovery is over by then."""
 
-MOST_EARLY = 2_000
+MAX_EARLY_DURATIONS = 2_000
 """Durations kept until the metrics are loaded; enough for a balancer's searches in 5 s."""
 
 
@@ -43,25 +43,27 @@
 
 
 class Report:
-    """The metrics of both programs; `add_own` registers those of one program once loaded."""
+    """The metrics of one daemon; `add_program_metrics` registers those of its program."""
 
     def __init__(
         self,
-        owner: loop.Loop,
+        event_loop: loop.Loop,
         log: journal.Journal,
         counts: abc.Mapping[str, int],
-        read: feed.Feed,
-        add_own: "abc.Callable[[metrics.Metrics], None]",
+        store_feed: feed.StoreFeed,
+        add_program_metrics: "abc.Callable[[metrics.Metrics], None]",
     ):
-        self.owner = owner
+        self.event_loop = event_loop
         self.log = log
         self.counts = counts
-        self.read = read
-        self.add_own = add_own
+        self.store_feed = store_feed
+        self.add_program_metrics = add_program_metrics
         self.metrics: metrics.Metrics | None = None
         self.latencies: dict[tuple[str, str], metrics.Latency] = {}
-        self.early: collections.deque[Duration] = collections.deque(maxlen=MOST_EARLY)
-        owner.at(clock.now() + LOAD_AFTER_MS, self.load)
+        self.early_durations: collections.deque[Duration] = collections.deque(
+            maxlen=MAX_EARLY_DURATIONS
+        )
+        event_loop.at(clock.now() + LOAD_AFTER_MS, self.load)
 
     def load(self) -> "metrics.Metrics":
         """Return the metrics, created at the first call."""
@@ -69,34 +71,37 @@
             return self.metrics
         from ebonystile import metrics
 
-        self.metrics = held = metrics.make_metrics()
-        read = self.read
-        held.tally("events", "Events by their names.", self.counts, "event")
-        held.tally(
-            "readings", "Answers and failures of the store and relays.", read.counts, "outcome"
+        self.metrics = registry = metrics.make_metrics()
+        store_feed = self.store_feed
+        registry.tally("events", "Events by their names.", self.counts, "event")
+        registry.tally(
+            "readings",
+            "Answers and failures of the store and relays.",
+            store_feed.counts,
+            "outcome",
         )
-        held.tally("log_lines_left_out", "Lines not logged.", self.log.left_out, "event")
-        held.gauge("view_fresh", "1 while the view is known to be new.", read.is_fresh)
-        held.gauge("configuration", "Version of the configuration.", read.version)
-        held.gauge("upstreams", "Upstreams listed.", lambda: len(read.fleet.upstreams))
-        self.add_own(held)
-        for duration in self.early:
-            self.record(duration)
-        self.early.clear()
-        return held
-
-    def note_search(self, outcome: str, searched_ms: int) -> None:
+        registry.tally("log_lines_left_out", "Lines not logged.", self.log.left_out, "event")
+        registry.gauge("view_fresh", "1 while the view is known to be new.", store_feed.is_current)
+        registry.gauge("configuration", "Version of the configuration.", store_feed.version)
+        registry.gauge("upstreams", "Upstreams listed.", lambda: len(store_feed.fleet.upstreams))
+        self.add_program_metrics(registry)
+        for duration in self.early_durations:
+            self.record_duration(duration)
+        self.early_durations.clear()
+        return registry
+
+    def record_search(self, outcome: str, searched_ms: int) -> None:
         """Record how long a search for a flow's upstream took, by the event that ended it."""
-        self.record(Duration(self.owner.now, searched_ms, SEARCHES, outcome))
+        self.record_duration(Duration(self.event_loop.now, searched_ms, SEARCHES, outcome))
 
-    def note_answer(self, now: int, took_ms: int) -> None:
+    def record_answer(self, now: int, took_ms: int) -> None:
         """Record how long the upstream took to answer a request."""
-        self.record(Duration(now, took_ms, ANSWERS, ""))
+        self.record_duration(Duration(now, took_ms, ANSWERS, ""))
 
-    def record(self, duration: Duration) -> None:
+    def record_duration(self, duration: Duration) -> None:
         """Add a duration to its histogram, or keep it until the metrics are loaded."""
         if self.metrics is None:
-            self.early.append(duration)
+            self.early_durations.append(duration)
             return
         self.latency(duration.name, duration.outcome).record(duration.at, duration.ms)
 
@@ -112,14 +117,14 @@
     def serve(self, address: str) -> None:
         """Serve the metrics; only log an error if the address can't be used."""
         try:
-            pages.Server(self.owner, entries.address_of(address), self.on_request)
+            pages.Server(self.event_loop, entries.address_of(address), self.on_request)
         except errors.PeerError as error:
             self.log.event("metrics_not_served", reason=str(error))
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
         """Answer an HTTP request at the metrics address."""
         if target.partition("?")[0] != METRICS_PATH:
-            connection.answer(pages.Page(404))
+            connection.answer(pages.Response(404))
         else:
-            held = self.load()
-            connection.answer(pages.Page(200, held.text(), held.KIND))
+            registry = self.load()
+            connection.answer(pages.Response(200, registry.text(), registry.KIND))
--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -44,23 +44,23 @@
         self.log = journal.Journal(program, settings.name)
         self.counts: collections.Counter[str] = collections.Counter()
         self.loop = loop.Loop()
-        self.feed = feed.Feed(self.loop, settings, self.log, self.on_view)
-        self.peers = self.loop.listen(settings.internal, self.on_datagram, BUFFER_BYTES)
+        self.feed = feed.StoreFeed(self.loop, settings, self.log, self.on_view)
+        self.peer_socket = self.loop.listen(settings.internal, self.on_datagram, BUFFER_BYTES)
         self.pages = pages.Server(self.loop, entries.address_of(settings.ready), self.on_request)
         self.report = report.Report(self.loop, self.log, self.counts, self.feed, self.add_metrics)
         if settings.metrics:
             self.report.serve(settings.metrics)
         self.leaving_since: int | None = None
         self.last_tick = clock.now()
-        self.suspended = suspended_ns()
-        self.settings_seen = settings_stamp()
+        self.last_suspended_ns = suspended_ns()
+        self.last_settings_stamp = settings_stamp()
         self.loop.every(TICK_MS, self.tick)
-        loop.on_signals(self.loop, self.leave, self.note_signal)
+        loop.on_signals(self.loop, self.leave, self.log_signal)
         signal.signal(signal.SIGHUP, lambda *_: self.loop.post(self.reload))
 
     def run(self) -> None:
         """Run until the loop is stopped."""
-        self.feed.start()
+        self.feed.make_next_call()
         self.log.event("start", zone=self.settings.zone, address=self.settings.packets)
         try:
             self.loop.run()
@@ -70,18 +70,18 @@
             raise
         self.log.event("stop", **self.counts, **self.feed.counts)
 
-    def add_metrics(self, held: "metrics.Metrics") -> None:
+    def add_metrics(self, registry: "metrics.Metrics") -> None:
         """Register the metrics of this program."""
         raise NotImplementedError
 
     def on_request(self, connection: pages.Connection, target: str) -> None:
         """Answer an HTTP request at the readiness address."""
         if target.partition("?")[0] != node.READY_PATH:
-            connection.answer(pages.Page(404))
+            connection.answer(pages.Response(404))
         else:
-            connection.answer(pages.Page(200 if self.ready() else 503))
+            connection.answer(pages.Response(200 if self.is_ready() else 503))
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the fabric should send packets here."""
         return self.feed.reader.complete and self.leaving_since is None
 
@@ -98,11 +98,11 @@
             return
         if isinstance(message, messages.ProbeMany):
             for raw in message.raws:
-                self.on_one(messages.Probe(raw), source)
+                self.dispatch_message(messages.Probe(raw), source)
         else:
-            self.on_one(message, source)
+            self.dispatch_message(message, source)
 
-    def on_one(self, message: messages.Message, source: view.Address) -> None:
+    def dispatch_message(self, message: messages.Message, source: view.Address) -> None:
         """Pass a message to the core; drop it if the packet in it is malformed."""
         raw = getattr(message, "raw", None)
         received = packets.from_caller(raw) if raw is not None else None
@@ -117,10 +117,10 @@
         """Pass a message, with the parsed packet in it if any, to the core."""
         raise NotImplementedError
 
-    def carry_out(self, todo: abc.Iterable[effects.Effect]) -> None:
+    def apply_effects(self, todo: abc.Iterable[effects.Effect]) -> None:
         """Carry out the effects that the core returned."""
         for effect in todo:
-            DOERS[type(effect)](effect, self)
+            EFFECT_HANDLERS[type(effect)](effect, self)
 
     def to_upstream(self, raw: bytes) -> None:
         """Send a packet to the upstream; only a sidecar has one."""
@@ -135,15 +135,15 @@
         now = clock.now()
         suspended = suspended_ns()
         gap = now - self.last_tick
-        if gap > PAUSE_MS or suspended - self.suspended > SUSPENDED_NS:
+        if gap > PAUSE_MS or suspended - self.last_suspended_ns > SUSPENDED_NS:
             # Routes may have been dropped and upstreams replaced during the pause.
             self.log.event("woke", gap_ms=gap)
             self.feed.reread()
         self.last_tick = now
-        self.suspended = suspended
+        self.last_suspended_ns = suspended
         stamp = settings_stamp()
-        if stamp != self.settings_seen:
-            self.settings_seen = stamp
+        if stamp != self.last_settings_stamp:
+            self.last_settings_stamp = stamp
             self.reload()
         self.on_tick(now)
 
@@ -171,7 +171,7 @@
         """Start the shutdown of the core."""
         raise NotImplementedError
 
-    def note_signal(self, name: str) -> None:
+    def log_signal(self, name: str) -> None:
         """Log a further signal, which has no effect."""
         self.log.event("signal_again", signal=name)
 
@@ -187,7 +187,7 @@
 
 def do_send(effect: effects.Send, shell: Shell) -> None:
     """Send a message to another process."""
-    loop.send(shell.peers, carrying.pack(effect.message), effect.address)
+    loop.send(shell.peer_socket, carrying.pack(effect.message), effect.address)
 
 
 def do_reset(effect: effects.Reset, shell: Shell) -> None:
@@ -201,16 +201,16 @@
     fields = dict(effect.fields)
     shell.counts[effect.event] += 1
     if "searched_ms" in fields:
-        shell.report.note_search(effect.event, fields["searched_ms"])
+        shell.report.record_search(effect.event, fields["searched_ms"])
     shell.log.event(effect.event, **fields)
 
 
-DOERS: dict[type, abc.Callable] = {
+EFFECT_HANDLERS: dict[type, abc.Callable] = {
     effects.Send: do_send,
     effects.ToUpstream: lambda effect, shell: shell.to_upstream(effect.raw),
     effects.ToCaller: lambda effect, shell: shell.to_caller(effect.packet.raw, effect.packet.flow),
     effects.Reset: do_reset,
-    effects.Reread: lambda effect, shell: shell.feed.hurry(effect.version),
-    effects.ReadFrom: lambda effect, shell: shell.feed.offer(effect.address),
+    effects.Reread: lambda effect, shell: shell.feed.schedule_read(effect.version),
+    effects.ReadFrom: lambda effect, shell: shell.feed.add_source(effect.address),
     effects.Trace: do_trace,
 }
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -34,16 +34,18 @@
         self.outbound = self.loop.listen(
             entries.address_of(settings.from_upstream), self.on_upstream, shell.BUFFER_BYTES
         )
-        self.core.table.request_stats.on_answer = self.report.note_answer
+        self.core.table.request_stats.on_answer = self.report.record_answer
         self.caller_port = entries.address_of(settings.packets)[1]
 
-    def add_metrics(self, held: "metrics.Metrics") -> None:
+    def add_metrics(self, registry: "metrics.Metrics") -> None:
         """Register the metrics of a sidecar and its upstream."""
         table = self.core.table
         self.report.latency(report.ANSWERS)
-        held.gauge("flows", "Flows known.", lambda: len(table.flows))
-        held.gauge("running", "Requests that run.", lambda: table.running_requests(self.loop.now))
-        held.gauge(
+        registry.gauge("flows", "Flows known.", lambda: len(table.flows))
+        registry.gauge(
+            "running", "Requests that run.", lambda: table.running_requests(self.loop.now)
+        )
+        registry.gauge(
             "good",
             "Share of requests answered of late.",
             lambda: table.request_stats.success_rate(self.loop.now),
@@ -56,7 +58,7 @@
         self.core.announcer.relays = self.feed.sources.leads
         now = clock.now()
         self.core.view_changed(now)
-        self.carry_out(self.core.announce(now))
+        self.apply_effects(self.core.announce(now))
 
     def on_upstream(self, data: bytes, source: view.Address) -> None:
         """Parse a packet of the upstream and pass it to the core."""
@@ -65,17 +67,17 @@
             self.counts["packets_refused"] += 1
             return
         self.counts["packets_out"] += 1
-        self.carry_out(self.core.on_upstream(sent, self.loop.now))
+        self.apply_effects(self.core.on_upstream(sent, self.loop.now))
 
     def on_message(
         self, message: messages.Message, received: packet.Packet | None, source: view.Address
     ) -> None:
         """Pass a message to the core and carry out its effects."""
-        self.carry_out(self.core.on_message(message, received, source, self.loop.now))
+        self.apply_effects(self.core.on_message(message, received, source, self.loop.now))
 
     def on_tick(self, now: int) -> None:
         """Run the core's periodic work."""
-        self.carry_out(self.core.on_tick(now))
+        self.apply_effects(self.core.on_tick(now))
 
     def on_leave(self) -> None:
         """Accept no new flows, and stop after `LEAVE_MS`."""
--- a/tests/carrier/test_feed.py
+++ b/tests/carrier/test_feed.py
@@ -20,7 +20,7 @@
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     settings = node.Node("n", "balancer", "umea", "127.0.0.1:1", "127.0.0.1:2", port, "127.0.0.1:3")
-    built = feed.Feed(loop.Loop(), settings, journal.Journal("balancer", "n"), lambda: None)
+    built = feed.StoreFeed(loop.Loop(), settings, journal.Journal("balancer", "n"), lambda: None)
     yield built
     built.relay.server.close()
 
@@ -55,7 +55,7 @@
         made.reader.start_over()
     while made.reader.todo[0][0] is not kind:
         made.reader.todo.pop(0)
-    made.take(call, store.Listed(tuple(items), revision, next_after, True), clock.now())
+    made.apply_result(call, store.Listed(tuple(items), revision, next_after, True), clock.now())
 
 
 def operators(made, items, revision, **pages):
@@ -68,7 +68,7 @@
 
 def news(made, items, revision):
     call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
-    made.take(call, store.Watched(tuple(items), revision), clock.now())
+    made.apply_result(call, store.Watched(tuple(items), revision), clock.now())
 
 
 def test_a_drained_zone_is_known_before_any_upstream_is(made):
@@ -130,7 +130,7 @@
     news(made, [item(DRAINED, 11)], 11)
     made.call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
     made.on_failure("silent")
-    made.take(reading.Call(reading.Kind.WATCH, clock.now()), store.Forgotten(), clock.now())
+    made.apply_result(reading.Call(reading.Kind.WATCH, clock.now()), store.Forgotten(), clock.now())
     assert made.fleet.drained == {"umea"}
 
 
--- a/tests/carrier/test_processes.py
+++ b/tests/carrier/test_processes.py
@@ -214,11 +214,11 @@
     until the next start. SIGTERM ends it, with status 0, as it holds nothing yet.
     """
     program = (
-        "import time; from ebonystile.carrier import __main__ as started; started.mind_signals(); "
-        "print('minds', flush=True); time.sleep(30)"
+        "import time; from ebonystile.carrier import __main__ as started; "
+        "started.install_signal_handlers(); print('ready', flush=True); time.sleep(30)"
     )
     with subprocess.Popen([sys.executable, "-c", program], stdout=subprocess.PIPE) as process:
-        assert process.stdout.readline() == b"minds\n"
+        assert process.stdout.readline() == b"ready\n"
         process.send_signal(signal.SIGHUP)
         with pytest.raises(subprocess.TimeoutExpired):
             process.wait(0.3)
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -23,7 +23,7 @@
         self.loop = loop.Loop()
         self.direct = True
         address = free_address()
-        self.relay = relay.Relay(self.loop, address, lambda: self.direct)
+        self.relay = relay.StoreRelay(self.loop, address, lambda: self.direct)
         self.client = calls.Client(self.loop, address)
         self.results = []
 
@@ -35,7 +35,7 @@
             call.deadline,
             lambda status, body: self.results.append((call, status, body)),
             lambda reason: self.results.append((call, 0, reason)),
-            begin_by=None if begin is None else now + begin,
+            first_byte_by=None if begin is None else now + begin,
         )
 
     def step_until(self, done, limit=3_000):
@@ -69,7 +69,7 @@
 
 def fill(bench, count=3, revision=10):
     for number in range(count):
-        bench.relay.take(entry(f"u{number:04}", number + 1))
+        bench.relay.add_item(entry(f"u{number:04}", number + 1))
     bench.relay.restart(revision)
     bench.relay.advance(revision)
 
@@ -88,8 +88,8 @@
 def test_a_watch_is_answered_when_something_changes(bench):
     fill(bench)
     bench.get(reading.Kind.WATCH, revision=10)
-    bench.step_until(lambda: bench.relay.waiting)
-    bench.relay.take(entry("u0000", 11, tombstone=True))
+    bench.step_until(lambda: bench.relay.pending_watches)
+    bench.relay.add_item(entry("u0000", 11, tombstone=True))
     bench.relay.advance(11)
     news = bench.result()
     assert [(i.key, i.tombstone) for i in news.items] == [("servers/u0000", True)]
@@ -118,7 +118,7 @@
     """
     fill(bench)
     bench.get(reading.Kind.WATCH, revision=10)
-    bench.step_until(lambda: bench.relay.waiting)
+    bench.step_until(lambda: bench.relay.pending_watches)
     bench.direct = False
     bench.relay.expire(clock.now())
     assert bench.status() == 503
@@ -227,9 +227,11 @@
     """Fifty readers wait; a change comes. Making each an answer of its own took 7 ms a change."""
     bench.relay.restart(4)
     readers = [Reader() for _ in range(50)]
-    bench.relay.waiting = [relay.Waiting(reader, 4, clock.now() + 1_000) for reader in readers]
-    bench.relay.take(entries.Item("servers/u1", b"{}", 5))
+    bench.relay.pending_watches = [
+        relay.PendingWatch(reader, 4, clock.now() + 1_000) for reader in readers
+    ]
+    bench.relay.add_item(entries.Item("servers/u1", b"{}", 5))
     bench.relay.advance(5)
     assert [len(reader.pages) for reader in readers] == [1] * 50
     assert len({id(reader.pages[0]) for reader in readers}) == 1
-    assert not bench.relay.waiting
+    assert not bench.relay.pending_watches
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -657,13 +657,13 @@
     Mutation(
         "an older list takes nothing back",
         "src/ebonystile/carrier/feed.py",
-        "if key in self.seen or self.revisions.get(key, 0) > self.list_revision:",
-        "if key in self.seen:",
+        "if key in self.listed_keys or self.revisions.get(key, 0) > self.list_revision:",
+        "if key in self.listed_keys:",
     ),
     Mutation(
         "the end of a drain is seen in the next list",
         "src/ebonystile/carrier/feed.py",
-        "            self.take_back_unlisted()\n",
+        "            self.end_unlisted_drains()\n",
         "",
     ),
     Mutation(
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -69,15 +69,15 @@
     path = tmp_path / "log"
     with path.open("wb") as file:
         log = journal.Journal("balancer", "b-1", file.fileno())
-        for _ in range(journal.LINES_PER_S + 25):
+        for _ in range(journal.MAX_LINES_PER_S + 25):
             log.event("opened", flow=FLOW)
             log.event("configured", version=1)
         now[0] = 2_000
         log.event("start")
     lines = [carried.parse(text) for text in path.read_text().splitlines()]
     counts = [line.event for line in lines]
-    assert counts.count("opened") == journal.LINES_PER_S
-    assert counts.count("configured") == journal.LINES_PER_S + 25
+    assert counts.count("opened") == journal.MAX_LINES_PER_S
+    assert counts.count("configured") == journal.MAX_LINES_PER_S + 25
     [told] = [line for line in lines if line.event == "lines_suppressed"]
     assert told.fields == {"opened": "25"}
 
