--- a/src/ebonystile/core/control/assembly.py
+++ b/src/ebonystile/core/control/assembly.py
@@ -1,7 +1,7 @@
-"""Assemble the view from services, labels and instances, touching only what a change touches.
+"""Build the view incrementally from services, labels and instances.
 
-At the target size a view has 16,000 endpoints; a change of one instance makes one new endpoint
-and one new tuple for each service it serves, and copies the dictionaries, which share the rest.
+A view may have 16,000 endpoints. A change of one instance makes one new endpoint and one new tuple
+for each service it serves, and copies the dictionaries, whose other values are shared.
 """
 
 import collections
@@ -17,12 +17,12 @@
 LEAVING_LABEL: Pair = ("leaving", "true")
 
 MAX_POOL_TUPLES = 65_536
-"""Most tuples that wait to be shared; beyond it the pool starts anew, which costs only memory."""
+"""Size of the pool of interned tuples; a full pool is cleared, which only costs memory."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Instance:
-    """An instance as the platform lists it, or as it described itself."""
+    """An instance as listed by the platform, or by its own statement."""
 
     name: str
     role: str
@@ -33,26 +33,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Spec:
-    """A service as published; `selector` holds for each label key the values that match."""
+    """A service as published; `selector` holds the matching values of each label key."""
 
     address: str
     selector: tuple[tuple[str, tuple[str, ...]], ...]
 
     def pairs(self) -> typing.Iterator[Pair]:
-        """Return every label pair that the selector names."""
+        """Return every label pair that the selector contains."""
         return ((key, value) for key, values in self.selector for value in values)
 
     def matches(self, labels: tuple[Pair, ...]) -> bool:
-        """Tell whether labels have, for each key of the selector, one of its values."""
+        """Return whether the labels have one of the selector's values for each of its keys."""
         have = dict(labels)
         return all(have.get(key) in values for key, values in self.selector)
 
 
 class Claims:
-    """What each name stands for, where two documents may claim the same name.
+    """The value of each name, where several documents may define the same name.
 
-    The document with the first key in order wins, whatever the order of arrival, so that all
-    processes agree; the others wait, which lets operators move a name without a gap.
+    The document with the lowest key wins, whatever the order of arrival, so that all processes
+    agree. The others are shadowed until it drops the name, so operators can move a name from one
+    document to another without a gap.
     """
 
     def __init__(self) -> None:
@@ -62,7 +63,7 @@
         self.names: dict[str, tuple[str, ...]] = {}
 
     def replace(self, source: str, values: dict[str, typing.Any]) -> list[str]:
-        """Put the document's values in the place of its former ones; return the names changed."""
+        """Replace all values of a document; return the names whose value changed."""
         changed = []
         former = self.names.pop(source, ())
         for name in {*former, *values}:
@@ -73,7 +74,7 @@
         return sorted(changed)
 
     def set_claim(self, name: str, source: str, value: typing.Any) -> bool:
-        """Set or, with None, withdraw one claim; tell whether the name's value changed."""
+        """Set or remove a document's value of a name; return whether the name's value changed."""
         claims = self.shadowed.pop(name, {})
         before = self.values.pop(name, None)
         if before is not None:
@@ -91,7 +92,7 @@
         return self.values[name] != before
 
     def conflicts(self) -> list[str]:
-        """Return one line for each name that more than one document claims."""
+        """Return one line for each name that more than one document defines."""
         return [
             f"{name}: in {self.sources[name]} and {', '.join(sorted(claims))};"
             f" {self.sources[name]} holds"
@@ -100,7 +101,7 @@
 
 
 class Assembly:
-    """The parts of a view and the view made of them last."""
+    """The parts of the view, and the view built from them last."""
 
     def __init__(self) -> None:
         self.specs = Claims()
@@ -116,7 +117,7 @@
         self.view = view.EMPTY
 
     def put_services(self, source: str, specs: dict[str, Spec]) -> None:
-        """Put a document of services in the place of its former content."""
+        """Replace the content of a document of services."""
         for name in self.specs.replace(source, specs):
             self.unindex_service(name)
             spec = self.specs.values.get(name)
@@ -125,12 +126,12 @@
             self.changed_services.add(name)
 
     def put_labels(self, source: str, labels: dict[str, dict[str, str]]) -> None:
-        """Put a document of labels in the place of its former content."""
+        """Replace the content of a document of labels."""
         packed = {sys.intern(name): self.pack_labels(pairs) for name, pairs in labels.items()}
         self.changed_instances.update(self.labels.replace(source, packed))
 
     def put_instance(self, name: str, instance: Instance | None) -> None:
-        """Set what is known of an instance, or with None forget it."""
+        """Set an instance, or remove it if None."""
         if self.instances.get(name) == instance:
             return
         if instance is None:
@@ -140,20 +141,20 @@
         self.changed_instances.add(name)
 
     def pack_labels(self, labels: dict[str, str]) -> tuple[Pair, ...]:
-        """Return labels as a sorted tuple, one object for all instances that have the same."""
+        """Return labels as a sorted tuple, shared by all instances with the same labels."""
         pairs = tuple(
             self.intern_tuple((sys.intern(k), sys.intern(v))) for k, v in sorted(labels.items())
         )
         return self.intern_tuple(pairs)
 
     def intern_tuple(self, item: tuple[typing.Any, ...]) -> tuple[typing.Any, ...]:
-        """Return an equal tuple that is in use already, if there is one, to save its memory."""
+        """Return the pool's equal tuple, if there is one, to save memory."""
         if len(self.pool) >= MAX_POOL_TUPLES:
             self.pool.clear()
         return self.pool.setdefault(item, item)
 
     def index_service(self, name: str, spec: Spec) -> None:
-        """File the service under the key of its selector that the fewest services use."""
+        """Index the service by the key of its selector that the fewest services use."""
         self.label_uses.update(spec.pairs())
         _, key, values = min(
             (max(self.label_uses[key, value] for value in values), key, values)
@@ -165,7 +166,7 @@
             self.services_by_label[pair] = (*self.services_by_label.get(pair, ()), name)
 
     def unindex_service(self, name: str) -> None:
-        """Take the service out of the file, if it is there."""
+        """Remove the service from the index, if it is there."""
         if name not in self.index_entries:
             return
         spec, pairs = self.index_entries.pop(name)
@@ -191,7 +192,7 @@
         return self.intern_tuple(names)
 
     def endpoint_for(self, name: str) -> view.Endpoint | None:
-        """Return the instance's endpoint; the label or the platform may say that it leaves."""
+        """Return the instance's endpoint; it is leaving by its own state or by a label."""
         instance = self.instances.get(name)
         if instance is None or instance.role != "upstream":
             return None
@@ -201,7 +202,7 @@
         )
 
     def build(self, revision: int, instances_revision: int) -> view.View:
-        """Return the view with every change since the last call in it."""
+        """Return the view, rebuilt with all changes since the last call."""
         if self.changed_services:
             self.add_affected_instances()
         services = dict(self.view.services)
@@ -218,7 +219,7 @@
         return self.view
 
     def add_affected_instances(self) -> None:
-        """Touch the instances whose services may differ now that selectors have changed."""
+        """Mark as changed the instances that changed selectors may affect."""
         changed = self.changed_services & self.index_entries.keys()
         pairs = {pair for name in changed for pair in self.index_entries[name][1]}
         for name, labels in self.labels.values.items():
@@ -230,7 +231,7 @@
     def refresh_endpoints(
         self, endpoints: dict[int, view.Endpoint]
     ) -> tuple[dict[str, list[view.Endpoint]], dict[str, set[int]]]:
-        """Renew the touched endpoints; return who joins and who leaves each service."""
+        """Rebuild the changed endpoints; return those that join and leave each service."""
         joined: dict[str, list[view.Endpoint]] = collections.defaultdict(list)
         left: dict[str, set[int]] = collections.defaultdict(set)
         for name in self.changed_instances:
@@ -259,7 +260,7 @@
         joined: list[view.Endpoint],
         left: set[int],
     ) -> None:
-        """Renew one service, its upstreams in the order of their names."""
+        """Rebuild one service, with its upstreams in the order of their names."""
         spec = self.specs.values.get(name)
         if spec is None:
             services.pop(name, None)
@@ -270,12 +271,12 @@
         services[name] = view.make_service(name, spec.address, upstreams)
 
     def can_affect_balancers(self, name: str) -> bool:
-        """Tell whether the touched instance can change the list of balancers."""
+        """Return whether a change of the instance can affect the list of balancers."""
         instance = self.instances.get(name)
         return instance is None or instance.role == "balancer"
 
     def balancer_addresses(self) -> tuple[view.Address, ...]:
-        """Return the addresses of the balancers that stay."""
+        """Return the addresses of the balancers that are not leaving."""
         return tuple(
             sorted(
                 i.address for i in self.instances.values() if i.role == "balancer" and not i.leaving
--- a/src/ebonystile/core/control/configuration.py
+++ b/src/ebonystile/core/control/configuration.py
@@ -1,9 +1,9 @@
-"""Keep the configuration in force: join what the platform and peers say, refuse what is wrong.
+"""Keep the configuration in force: merge updates from the platform and peers, refuse invalid ones.
 
-Values and the list of instances come in any order, from watchers of differing freshness, again
-and again. Each key keeps its accepted value of the highest revision, so an older answer, from a
-stale replica or a peer that slept, changes nothing. A value that fails its check is refused whole:
-the older value stays in force and the refusal, with every fault, is kept for operators.
+Values and the list of instances arrive repeatedly, in any order, and from sources of different
+revisions. Each key keeps its accepted value of the highest revision, so an older answer from a
+stale replica or peer changes nothing. A value that fails validation is refused as a whole: the
+older value stays in force, and the refusal and its faults are kept for operators.
 """
 
 import dataclasses
@@ -17,18 +17,18 @@
 from ebonystile.platform import documents
 
 MAX_REFUSALS = 256
-"""Refusals kept; beyond it the one of the lowest revision is dropped."""
+"""Refusals kept; beyond that, the one of the lowest revision is dropped."""
 
 MAX_FAULTS = 8
-"""Faults of one document that are kept and spread; the check command shows them all."""
+"""Faults kept and distributed for one document; `ebonystile check` shows all of them."""
 
 MAX_UPDATE_VALUES_BYTES = 512 << 10
-"""Bytes of values after which an update ends; the asking process then asks for the rest."""
+"""Size of the values in one update; the requesting process pulls the rest afterwards."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Refusal:
-    """A value that was refused: the platform's revision of it and its faults."""
+    """The refusal of a value: its revision at the platform, its key and its faults."""
 
     revision: int
     key: str
@@ -37,26 +37,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Digest:
-    """How far a configuration is complete; each part only ever rises."""
+    """The revisions up to which a configuration is complete; they never decrease."""
 
     values: int = 0
     instances: int = 0
 
     def is_behind(self, other: "Digest") -> bool:
-        """Tell whether `other` has something that this one lacks."""
+        """Return whether `other` is complete up to a higher revision in either part."""
         return other.values > self.values or other.instances > self.instances
 
     def join(self, other: "Digest") -> "Digest":
-        """Return the higher of each part."""
+        """Return the higher revision of each part."""
         return Digest(max(self.values, other.values), max(self.instances, other.instances))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PullRequest:
-    """What a configuration has, so that another can answer with just the rest.
+    """What a configuration contains, so that an update can be limited to the rest.
 
-    `lacking` names refused keys with the revision that is in force for them: the older value, in
-    force elsewhere, lies below the digest and would not be sent otherwise.
+    `lacking` holds the refused keys with the revision in force for them. A newer value that another
+    process has in force may be below the digest, and would otherwise not be sent.
     """
 
     digest: Digest = Digest()
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Update:
-    """What one configuration sends another: entries of both stores, and refusals."""
+    """The answer to a pull: entries of both stores, and refusals."""
 
     values: store.Delta
     instances: store.Delta
@@ -85,7 +85,7 @@
 
 
 def pack_value(value: typing.Any) -> bytes | None:
-    """Return a JSON value in the form in which it is kept and spread; None is a deletion."""
+    """Return a JSON value as compressed bytes, as it is kept and sent; None is a deletion."""
     if value is None:
         return None
     text = json.dumps(value, sort_keys=True, separators=(",", ":"))
@@ -93,7 +93,7 @@
 
 
 def unpack_value(packed: bytes) -> typing.Any:
-    """Return the JSON value; raise `SettingsError` if it is too large or no JSON."""
+    """Return the JSON value; raise `SettingsError` if it is too large or invalid."""
     try:
         reader = zlib.decompressobj()
         text = reader.decompress(packed, documents.MAX_BYTES + 1)
@@ -110,7 +110,7 @@
 def values_delta(
     after: int, revision: int, values: typing.Iterable[tuple[str, int, typing.Any]]
 ) -> store.Delta:
-    """Return the platform's answer to a read of values after `after`: key, revision, value."""
+    """Return the delta for a read of the platform's values: (key, revision, value) each."""
     entries = tuple((key, store.Entry(rev, pack_value(value))) for key, rev, value in values)
     return store.Delta(after, revision, 0, entries)
 
@@ -118,9 +118,9 @@
 def instances_delta(
     after: int, revision: int, instances: typing.Iterable[tuple[assembly.Instance, bool]]
 ) -> store.Delta:
-    """Return the platform's answer to a read of its list: each instance and whether it is gone.
+    """Return the delta for a read of the platform's list: (instance, whether it is gone) each.
 
-    The list has one revision for all. Each entry is true as of it, so it may bear it.
+    The list has one revision, which all of its entries get.
     """
     entries = tuple(
         (instance.name, store.Entry(revision, None if gone else instance))
@@ -130,7 +130,7 @@
 
 
 class Configuration:
-    """The accepted values, the refused ones, the list of instances, and the view of them."""
+    """The accepted values, the refusals, the list of instances, and the view built from them."""
 
     def __init__(self) -> None:
         self.values = store.Store()
@@ -142,12 +142,12 @@
 
     @property
     def digest(self) -> Digest:
-        """How far this configuration is complete."""
+        """The revisions up to which this configuration is complete."""
         return Digest(self.values.complete, self.instances.complete)
 
     @property
     def view(self) -> view.View:
-        """The view in force; built when something has changed since it was last asked for."""
+        """The view in force; rebuilt on access if something has changed."""
         if self.is_view_stale:
             self.is_view_stale = False
             self.parts.build(self.values.complete, self.instances.complete)
@@ -155,11 +155,11 @@
 
     @property
     def refused(self) -> list[Refusal]:
-        """The refusals that stand: an accepted value of a higher revision ends one."""
+        """The current refusals; one ends when a value of its revision or above is accepted."""
         return sorted(self.refusals.values())
 
     def pull_request(self) -> PullRequest:
-        """Return what to send with a pull."""
+        """Return the request to send with a pull."""
         lacking = []
         for key in sorted(self.refusals):
             entry = self.values.entries.get(key)
@@ -168,13 +168,13 @@
 
     @property
     def is_incomplete(self) -> bool:
-        """Tell whether a key was refused here that may be in force elsewhere at an older value."""
+        """Whether a refused key has no value here; other processes may have an older one."""
         return any(key not in self.values.entries for key in self.refusals)
 
     def update_for(self, request: PullRequest) -> Update:
-        """Return what the asking process lacks, or the first part of it.
+        """Return what the requesting process lacks, or the first part of it.
 
-        The list of instances comes with the last part of the values.
+        The list of instances is sent with the last part of the values.
         """
         values = self.values.delta(request.digest.values, MAX_UPDATE_VALUES_BYTES)
         values = dataclasses.replace(
@@ -189,10 +189,10 @@
     def missing_entries(
         self, request: PullRequest, values: store.Delta
     ) -> tuple[tuple[str, store.Entry], ...]:
-        """Return entries in force for keys that the asking process could not accept.
+        """Return the entries in force for keys that the requesting process refused.
 
-        All of them, or what fits one update: with one at a time, a key whose older value is of no
-        use to the asking process would hold up all that come after it, in every exchange.
+        As many as fit one update: one at a time, an entry that the requesting process refuses as
+        well would block all that follow it.
         """
         named = {key for key, _ in values.entries}
         entries = [
@@ -205,7 +205,7 @@
         return tuple(entries[: store.count_within(entries, MAX_UPDATE_VALUES_BYTES)])
 
     def apply(self, update: Update) -> Changes:
-        """Take in an update of a peer."""
+        """Apply a peer's update; return what changed."""
         keys, refusals = self.apply_values(update.values)
         for refusal in update.refusals:
             if self.record_refusal(refusal):
@@ -214,7 +214,7 @@
         return Changes(tuple(keys), tuple(refusals), tuple(names))
 
     def apply_values(self, delta: store.Delta) -> tuple[list[str], list[Refusal]]:
-        """Accept each newer value whole or refuse it whole; return what changed."""
+        """Accept or refuse each newer value as a whole; return the changed keys and refusals."""
         accepted = []
         refusals = []
         for key, entry in delta.entries:
@@ -231,7 +231,7 @@
         return self.join_values(delta, checked), refusals
 
     def install_entry(self, key: str, entry: store.Entry) -> list[str]:
-        """Check an entry's value and, if it is the newest, put it into the parts of the view."""
+        """Validate an entry and, if it is the newest, add it to the view; return its faults."""
         if entry.value is None:
             document = None
         else:
@@ -244,11 +244,11 @@
         return []
 
     def is_restoring(self, key: str, entry: store.Entry) -> bool:
-        """Tell whether an old value fills a key whose newer value was refused here."""
+        """Return whether an old value fills a key of which only a refused value was received."""
         return key in self.refusals and key not in self.values.entries
 
     def join_values(self, delta: store.Delta, checked: store.Delta) -> list[str]:
-        """Join the accepted entries; keys with a refusal are not deleted by their absence."""
+        """Merge the accepted entries; keys with a refusal are not deleted by their absence."""
         deleted = self.values.deleted_by(delta, self.refusals)
         for key in deleted:
             self.values.remove(key)
@@ -264,7 +264,7 @@
         return changed
 
     def put_document(self, key: str, document: typing.Any) -> None:
-        """Put a document, or its absence, into the parts of the view."""
+        """Set a document in the assembly of the view; None removes it."""
         self.is_view_stale = True
         if key.startswith("services/"):
             specs = document.services if document is not None else {}
@@ -273,7 +273,7 @@
             self.parts.put_labels(key, document.instances if document is not None else {})
 
     def record_refusal(self, refusal: Refusal) -> bool:
-        """Keep a refusal unless a newer value or refusal of the key is known."""
+        """Keep a refusal unless its key has a newer value or refusal; return whether kept."""
         entry = self.values.entries.get(refusal.key)
         if entry is not None and entry.revision >= refusal.revision:
             return False
@@ -286,13 +286,13 @@
         return True
 
     def end_refusal(self, key: str, revision: int) -> None:
-        """End the refusal of a key once a value at or above its revision is accepted."""
+        """Remove the refusal of a key if a value of its revision or above was accepted."""
         refusal = self.refusals.get(key)
         if refusal is not None and refusal.revision <= revision:
             del self.refusals[key]
 
     def apply_instances(self, delta: store.Delta) -> list[str]:
-        """Take in a part of the platform's list; return the names that changed."""
+        """Apply a delta of the platform's list; return the names that changed."""
         before = self.instances.complete
         names = self.instances.join(delta)
         for name in names:
@@ -301,7 +301,7 @@
         return names
 
     def set_override(self, name: str, instance: assembly.Instance | None) -> None:
-        """Let what an instance says of itself go before the list; None ends that."""
+        """Set the instance that overrides the list's entry; None removes the override."""
         if instance is None:
             self.overrides.pop(name, None)
         else:
@@ -310,18 +310,18 @@
         self.is_view_stale = True
 
     def update_instance(self, name: str) -> None:
-        """Put what is known of the instance into the parts of the view."""
+        """Set an instance in the assembly of the view: its override, else the list's entry."""
         entry = self.instances.entries.get(name)
         listed = entry.value if entry is not None else None
         self.parts.put_instance(name, self.overrides.get(name, listed))
 
     def conflicts(self) -> list[str]:
-        """Return one line for each service or instance that two documents claim."""
+        """Return one line for each service or instance that is in more than one document."""
         return self.parts.specs.conflicts() + self.parts.labels.conflicts()
 
 
 def make_spec(spec: documents.ServiceSpec) -> assembly.Spec:
-    """Return a checked service in the compact form of the parts."""
+    """Return a validated service in the compact form that the assembly uses."""
     selector = tuple(
         (key, (value,) if isinstance(value, str) else tuple(sorted(set(value))))
         for key, value in sorted(spec.selector.items())
--- a/src/ebonystile/core/control/membership.py
+++ b/src/ebonystile/core/control/membership.py
@@ -1,11 +1,11 @@
-"""Keep track of who is there: the list as a hint, and what processes say of themselves.
+"""Track the processes of the fleet: the platform's list, and what processes state of themselves.
 
 Failure detection and refutation follow SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-
 consistent Infection-style Process Group Membership Protocol", DSN 2002): each period one random
-peer is asked; one that does not answer is asked through others, then suspected; it refutes by a
-higher generation; news travels on the messages that are sent anyway, each item a bounded number
-of times. Nothing here decides that an upstream is dead for routing: the view keeps it until the
-list drops it, since across a partition every peer on the far side looks dead.
+peer is probed; one that does not answer is probed through other peers, then suspected; it refutes
+the suspicion by a higher generation. Membership updates are piggybacked on other messages, each a
+bounded number of times. Membership never removes an upstream from routing: across a partition all
+peers on the other side look dead, so the view keeps an upstream until the list drops it.
 """
 
 import collections
@@ -18,17 +18,17 @@
 from ebonystile.core.control import assembly
 
 MAX_MEMBERS = 20_000
-"""Members remembered at once; beyond it the one longest silent is dropped."""
+"""Members remembered; beyond that, the one not heard from for the longest time is evicted."""
 
 MAX_UPDATES = 64
-"""Items of news waiting to be passed on; beyond it the oldest is dropped."""
+"""Membership updates queued for sending; beyond that, the oldest is dropped."""
 
 UPDATES_PER_MESSAGE = 4
-"""Items of news in one message, about 60 bytes each."""
+"""Membership updates in one message, about 60 bytes each."""
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member, in the order in which words of one generation prevail."""
+    """The state of a member; of two statements of one generation the higher state prevails."""
 
     ALIVE = 0
     LEAVING = 1
@@ -38,10 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Statement:
-    """What is said of one process.
+    """A statement on one process, made by itself or by another.
 
-    `generation` is the start of the process in ms, raised by one with each refutation; of two
-    statements on one name the one of the higher generation holds, then that of the worse state.
+    `generation` is the start time of the process in ms, raised by one with each refutation. Of two
+    statements on one name, that of the higher generation prevails, then that of the higher state.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The order of statements on one name."""
+        """The precedence of this statement among those on the same name."""
         return (self.generation, self.state)
 
     def instance(self) -> assembly.Instance:
@@ -64,9 +64,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """The statement that holds on a process, when it was heard itself, and when that ends.
+    """The prevailing statement on a process.
 
-    `until` is when a suspected member counts as dead, or a dead or silent one is forgotten.
+    `received_at` is when the process itself last sent something. At `until` a suspected member
+    counts as dead, and any other is removed.
     """
 
     statement: Statement
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """How long states last, in ms."""
+    """How long a statement is valid unless it is received again."""
 
     suspect_timeout_ms: int = 8_000
     unlisted_ttl_ms: int = 60_000
@@ -84,7 +85,7 @@
 
 
 class Membership:
-    """What one process knows of the others."""
+    """The members that one process knows, and the updates that it has to send."""
 
     def __init__(self, own: Statement, limits: Limits, now: int):
         self.own = own
@@ -97,14 +98,14 @@
         self.queue_update(own.name)
 
     def queue_update(self, name: str) -> None:
-        """Queue what is known of `name` to be passed on, about twice log2 of the fleet times."""
+        """Queue the statement on `name` to be sent about 2 * log2(size of the fleet) times."""
         self.updates.pop(name, None)
         self.updates[name] = 2 * math.ceil(math.log2(len(self.members) + len(self.listed) + 2))
         if len(self.updates) > MAX_UPDATES:
             self.updates.popitem(last=False)
 
     def take_updates(self) -> tuple[Statement, ...]:
-        """Return the next items to pass on, those sent least often first."""
+        """Return the updates for the next message, those sent least often first."""
         names = sorted(self.updates, key=self.updates.__getitem__, reverse=True)[
             :UPDATES_PER_MESSAGE
         ]
@@ -119,19 +120,19 @@
         return tuple(statements)
 
     def statement_of(self, name: str) -> Statement | None:
-        """Return what holds on `name`, this process included."""
+        """Return the prevailing statement on `name`, which may be this process, or None."""
         if name == self.own.name:
             return self.own
         member = self.members.get(name)
         return member.statement if member else None
 
     def leave(self) -> None:
-        """Say from now on that this process is leaving."""
+        """Mark this process as leaving, and queue that as an update."""
         self.own = dataclasses.replace(self.own, state=MemberState.LEAVING)
         self.queue_update(self.own.name)
 
     def receive_statement(self, statement: Statement, now: int) -> bool:
-        """Take in what a process says of itself; return whether that is new."""
+        """Apply the statement of a process on itself; return whether it changed anything."""
         changed = self.apply_statement(statement, now, by_itself=True)
         member = self.members.get(statement.name)
         if member is not None and member.statement.generation <= statement.generation:
@@ -142,10 +143,9 @@
         return changed
 
     def validity_ms(self, statement: Statement) -> int:
-        """Return how long a statement holds unless it is heard again.
+        """Return how long a statement is valid unless it is received again.
 
-        A process that the list does not show counts for a short while only: its word was spread
-        once, and nobody would say that it has gone.
+        It is shorter for a process that is not listed, since no list will show that it has gone.
         """
         if statement.state is MemberState.SUSPECT:
             return self.limits.suspect_timeout_ms
@@ -153,10 +153,10 @@
         return self.limits.listed_ttl_ms if listed else self.limits.unlisted_ttl_ms
 
     def mark_gone(self, name: str, now: int) -> None:
-        """Let a process that the list now shows as gone count as dead.
+        """Mark a process as dead that the list shows as gone.
 
-        News of its former life still goes round. Forgetting the process would let that news put a
-        stopped upstream back into the view; held for dead, it takes a newer start to come back.
+        It is not removed: updates that are still in circulation would put a stopped upstream back
+        into the view. A dead member comes back only by a statement of a higher generation.
         """
         member = self.members.get(name)
         if member is not None:
@@ -165,12 +165,12 @@
             self.updates.pop(name, None)
 
     def is_listed_gone(self, name: str) -> bool:
-        """Tell whether the list shows that the process has gone."""
+        """Return whether the list shows the process as gone."""
         entry = self.listed.get(name)
         return entry is not None and entry.value is None
 
     def apply_statement(self, statement: Statement, now: int, *, by_itself: bool = False) -> bool:
-        """Take in a statement, of the process `by_itself` or not; return whether that is new."""
+        """Apply a statement, made `by_itself` by the process or not; return whether it is new."""
         if statement.name == self.own.name:
             return self.apply_own_statement(statement, now)
         member = self.members.get(statement.name)
@@ -190,11 +190,11 @@
         return True
 
     def apply_own_statement(self, statement: Statement, now: int) -> bool:
-        """Refute a suspicion, or notice that another process has taken this name.
+        """Refute a suspicion, or detect that another process has taken this name.
 
-        A replacement has the later start and so the higher generation; a process that was paused
-        and wakes must not fight it. Only a process that started just now, on a clock that has
-        stepped back, answers with a generation above that of its predecessor.
+        A replacement started later and so has the higher generation; a process that wakes from a
+        pause must yield to it. Only a process that has just started, on a clock that was set back,
+        raises its generation above that of its predecessor.
         """
         if statement.rank <= self.own.rank:
             return False
@@ -207,44 +207,44 @@
         return True
 
     def suspect(self, name: str, now: int) -> bool:
-        """Suspect a process that answered neither this one nor others asked to try."""
+        """Suspect a process that answered neither direct nor indirect probes."""
         statement = self.statement_of(name) or self.listed_statement(name)
         if statement is None or statement.state >= MemberState.SUSPECT:
             return False
         return self.apply_statement(dataclasses.replace(statement, state=MemberState.SUSPECT), now)
 
     def listed_statement(self, name: str) -> Statement | None:
-        """Return what the list says, as a statement that anything said by the process overrides."""
+        """Return the list's entry as a statement of generation 0, which any other overrides."""
         instance = self.listed_instance(name)
         if instance is None:
             return None
-        told = MemberState.LEAVING if instance.leaving else MemberState.ALIVE
-        return Statement(name, instance.role, instance.address, instance.zone, 0, told)
+        state = MemberState.LEAVING if instance.leaving else MemberState.ALIVE
+        return Statement(name, instance.role, instance.address, instance.zone, 0, state)
 
     def listed_instance(self, name: str) -> assembly.Instance | None:
-        """Return the instance as the platform lists it."""
+        """Return the instance as listed by the platform, or None."""
         entry = self.listed.get(name)
         return entry.value if entry is not None else None
 
     def is_usable(self, name: str) -> bool:
-        """Tell whether the process may be counted on: not suspected, dead or leaving."""
+        """Return whether the process is neither suspected nor dead nor leaving."""
         statement = self.statement_of(name) or self.listed_statement(name)
         return statement is not None and statement.state is MemberState.ALIVE
 
     def address_of(self, name: str) -> view.Address | None:
-        """Return where to reach a process: by its own word, else by the list."""
+        """Return the address of a process by its statement, else by the list."""
         statement = self.statement_of(name) or self.listed_statement(name)
         return statement.address if statement else None
 
     def zone_of(self, name: str) -> str | None:
-        """Return the zone of a process: by its own word, else by the list."""
+        """Return the zone of a process by its statement, else by the list."""
         statement = self.statement_of(name) or self.listed_statement(name)
         return statement.zone if statement else None
 
     def override_for(self, name: str) -> assembly.Instance | None:
-        """Return what goes before the list for `name`, or None where the list may stand.
+        """Return the instance that overrides the list's entry for `name`, or None.
 
-        What a process says of itself stands while it is heard of; a suspicion changes nothing.
+        A process's own statement overrides the list while it is valid; a suspicion does not.
         """
         member = self.members.get(name)
         if member is None or member.statement.generation == 0:
@@ -254,7 +254,7 @@
         if statement.state is MemberState.DEAD:
             return None
         if statement.state is MemberState.SUSPECT:
-            # A suspicion hides whether the process had said that it leaves; the list decides.
+            # A suspicion replaces the state, so only the list shows whether the process leaves.
             leaving = listed is not None and listed.leaving
             instance = dataclasses.replace(statement.instance(), leaving=leaving)
         else:
@@ -262,7 +262,7 @@
         return None if instance == listed else instance
 
     def prune(self, now: int) -> list[str]:
-        """Turn old suspicions into deaths and forget the long gone; return the names changed."""
+        """Mark members dead or remove them once their time is over; return the names changed."""
         changed = []
         for name, member in list(self.members.items()):
             if member.until > now:
@@ -277,19 +277,19 @@
         return changed
 
     def evict_oldest(self) -> None:
-        """Drop the member longest silent once there are too many."""
+        """Remove the member not heard from for the longest time if there are too many."""
         if len(self.members) >= MAX_MEMBERS:
             oldest = min(self.members, key=lambda name: self.members[name].received_at)
             del self.members[oldest]
 
     def suspected(self) -> tuple[str, ...]:
-        """Return the names of those that are suspected or count as dead."""
+        """Return the names of the members that are suspected or dead."""
         return tuple(
             sorted(n for n, m in self.members.items() if m.statement.state >= MemberState.SUSPECT)
         )
 
     def names_of_role(self, role: str) -> list[str]:
-        """Return everyone of a role but this process, by the list and by their own word."""
+        """Return all names of a role, listed or by their statements, without this process."""
         listed = (n for n, e in self.listed.items() if e.value and e.value.role == role)
         said = (n for n, m in self.members.items() if m.statement.role == role)
         return sorted({*listed, *said} - {self.own.name})
@@ -298,7 +298,7 @@
 def make_membership(
     name: str, role: str, address: view.Address, zone: str, now: int, limits: Limits
 ) -> Membership:
-    """Return the membership of a process that starts `now`; its generation is that time."""
+    """Return the membership of a process that starts at `now`, which is its generation."""
     own = Statement(name, role, address, zone, now, MemberState.ALIVE)
     return Membership(own, limits, now)
 
@@ -306,7 +306,7 @@
 def pick_random(
     names: typing.Sequence[str], count: int, randomness: rng.Rng, excluded: set[str]
 ) -> list[str]:
-    """Return up to `count` different names at random, none of them banned."""
+    """Return up to `count` different random names, none of them in `excluded`."""
     picked: list[str] = []
     for _ in range(3 * count):
         if len(picked) == count or not names:
--- a/src/ebonystile/core/control/store.py
+++ b/src/ebonystile/core/control/store.py
@@ -1,38 +1,38 @@
-"""Hold versioned entries by key so that copies can be joined in any order and nothing reverts.
+"""A store of versioned entries whose copies can be merged in any order without reverting.
 
 A store is a join-semilattice (Shapiro et al., "Conflict-free Replicated Data Types", 2011): each
 key keeps its entry of the highest revision, so joining is idempotent, commutative and monotonic.
-Deletions stay as tombstones, so that a delta can carry them; the oldest are dropped beyond a
-bound, and `floor` remembers up to which revision that has happened. A copy behind the floor gets
-the names of all keys as well, and deletes those that are not among them.
+Deletions are kept as tombstones, so that a delta can carry them. Beyond a bound the oldest are
+dropped, and `floor` is the revision up to which that has happened. A copy behind the floor is also
+sent the names of all keys, and deletes those that are not among them.
 """
 
 import dataclasses
 import typing
 
 MAX_TOMBSTONES = 2_048
-"""Tombstones kept; a copy that is behind the dropped ones is sent the names of all keys."""
+"""Tombstones kept; beyond that, the oldest are dropped."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A value as of a revision of the platform; a tombstone where the value is None."""
+    """A value as of a revision of the platform; a tombstone if the value is None."""
 
     revision: int
     value: typing.Any
 
     @property
     def rank(self) -> tuple[int, bool, typing.Any]:
-        """The order of entries of one key: by revision, then the same way in every process."""
+        """The precedence among entries of one key: by revision, with a deterministic tie-break."""
         return (self.revision, self.value is not None, self.value)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """The entries above `after` and up to `complete` of another store, or of the platform.
+    """The entries above `after` and up to `complete` of another store or of the platform.
 
-    `names` holds every key of the other store where the asking copy is behind dropped tombstones:
-    a key that it lacks was deleted if it is at or below `floor`.
+    `names` holds all keys of the sending store if the receiving copy is behind dropped tombstones:
+    an entry of that copy at or below `floor` whose key is not in `names` was deleted.
     """
 
     after: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Store:
-    """Entries by key; every change of the platform up to `complete` is contained."""
+    """Entries by key, with every change of the platform up to the revision `complete`."""
 
     complete: int = 0
     floor: int = 0
@@ -52,10 +52,10 @@
     tombstones: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def is_newer(self, key: str, entry: Entry) -> bool:
-        """Tell whether the entry is newer than what is known of its key.
+        """Return whether the entry is newer than the stored one of its key.
 
-        An unknown key at or below the floor has been deleted and its tombstone dropped: taking it
-        from a peer that is behind would bring a deleted service back.
+        An unknown key at or below the floor was deleted and its tombstone dropped; accepting it
+        from a peer that is behind would restore a deleted service.
         """
         own = self.entries.get(key)
         if own is None:
@@ -63,28 +63,28 @@
         return entry.rank > own.rank
 
     def put(self, key: str, entry: Entry) -> bool:
-        """Keep the entry if it is newer than what is known of its key."""
+        """Store the entry if it is newer than the stored one; return whether it was stored."""
         if not self.is_newer(key, entry):
             return False
         self.set_entry(key, entry)
         return True
 
     def set_entry(self, key: str, entry: Entry) -> None:
-        """Set a key's entry whatever is known of it."""
+        """Set the entry of a key, without comparing revisions."""
         self.entries[key] = entry
         self.tombstones.pop(key, None)
         if entry.value is None:
             self.tombstones[key] = entry.revision
 
     def remove(self, key: str) -> None:
-        """Forget a key."""
+        """Remove a key, without a tombstone."""
         del self.entries[key]
         self.tombstones.pop(key, None)
 
     def delta(self, after: int, limit: int | None = None) -> Delta:
-        """Return what a copy complete up to `after` lacks, oldest first.
+        """Return the entries that a copy complete up to `after` lacks, oldest first.
 
-        With a `limit` in bytes of values it ends early, but never within one revision.
+        A `limit` in bytes of values cuts the delta short, but never within one revision.
         """
         entries = [(k, e) for k, e in self.entries.items() if e.revision > after]
         entries.sort(key=lambda item: item[1].revision)
@@ -98,7 +98,7 @@
         return Delta(after, complete, self.floor, tuple(entries), names)
 
     def deleted_by(self, delta: Delta, kept: typing.Container[str] = ()) -> list[str]:
-        """Return the keys that the names of a delta show as deleted, but for those `kept`."""
+        """Return the keys that a delta's `names` show as deleted, except those in `kept`."""
         if delta.names is None:
             return []
         named = set(delta.names)
@@ -109,14 +109,14 @@
         ]
 
     def advance(self, delta: Delta) -> None:
-        """Note how far the store is complete now that the entries of `delta` are in it."""
+        """Raise `complete` and `floor` after the entries of `delta` were stored."""
         if delta.after <= self.complete:
             self.complete = max(self.complete, delta.complete)
             self.floor = max(self.floor, min(delta.floor, self.complete))
         self.trim()
 
     def trim(self) -> None:
-        """Drop the oldest tombstones beyond the bound and raise the floor over them."""
+        """Drop the oldest tombstones beyond the bound, and raise the floor accordingly."""
         if len(self.tombstones) > MAX_TOMBSTONES:
             revisions = sorted(self.tombstones.values())
             oldest = revisions[len(revisions) - MAX_TOMBSTONES - 1]
@@ -125,7 +125,7 @@
             self.remove(key)
 
     def join(self, delta: Delta, kept: typing.Container[str] = ()) -> list[str]:
-        """Take in a delta or snapshot and return the keys that changed."""
+        """Merge a delta or snapshot and return the keys that changed."""
         changed = self.deleted_by(delta, kept)
         for key in changed:
             self.remove(key)
@@ -135,7 +135,7 @@
 
 
 def count_within(entries: list[tuple[str, Entry]], limit: int) -> int:
-    """Return how many entries fit into `limit` bytes: at least one, and whole revisions."""
+    """Return how many entries fit into `limit` bytes: whole revisions, and at least one."""
     size = 0
     for index, (_, entry) in enumerate(entries):
         size += len(entry.value or b"")
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -1,7 +1,7 @@
-"""The messages by which processes spread the configuration and learn of one another.
+"""The gossip messages by which processes distribute the configuration and the membership.
 
-All are sent as sealed datagrams; a `Pull` and its answer also go over a websocket where the answer
-is large. What comes in is trusted as far as the MAC goes: whoever has a key may publish.
+All are sent as sealed datagrams; a `Pull` and its answer also over a websocket if the answer is
+large. A message with a valid MAC is trusted: any process that has a key may publish.
 """
 
 import dataclasses
@@ -15,10 +15,10 @@
 from ebonystile.core.control import assembly, configuration, membership, store
 
 MAX_UPDATE_BYTES = 24 << 20
-"""Most bytes of one update before compression: far more than the target size needs."""
+"""Largest size of an update before compression."""
 
 MAX_DATAGRAM_UPDATE_BYTES = 1_200
-"""Largest update sent as a datagram; larger ones would be cut into fragments on the way."""
+"""Largest update sent as a datagram, which avoids IP fragmentation."""
 
 Address = tuple[str, int]
 
@@ -28,10 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gossip:
-    """Say who one is, how far one's configuration is, and some news of others.
+    """The sender's membership statement and revisions, and membership updates on others.
 
-    `fresh_as_of` is the newest time (ms) known at which a watcher had the platform's word that
-    nothing newer exists. `nonce` other than 0 asks for a beat back that shows it in `answers`.
+    `platform_confirmed_at` is the latest known time (ms) at which a watcher was answered by the
+    platform that nothing newer exists. A `nonce` other than 0 asks for a message back that has it
+    in `answers`.
     """
 
     KIND: typing.ClassVar[int] = 64
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pull:
-    """Ask for what one lacks: see `configuration.Wanted`."""
+    """Ask for an update; the fields are those of `configuration.PullRequest`."""
 
     KIND: typing.ClassVar[int] = 65
     nonce: int
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TooLarge:
-    """Say that the answer to a pull does not fit a datagram: ask again over a websocket."""
+    """The answer to a pull does not fit a datagram; the pull is to be sent over a websocket."""
 
     KIND: typing.ClassVar[int] = 67
     nonce: int
@@ -77,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Busy:
-    """Say that the budget for updates is spent until `retry_at` (ms), and whom to ask instead."""
+    """The budget for updates is spent until `retry_at` (ms); `alternatives` are peers to ask."""
 
     KIND: typing.ClassVar[int] = 68
     nonce: int
@@ -87,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeFor:
-    """Ask another process to try a third one that does not answer."""
+    """Ask a process to probe another one that did not answer."""
 
     KIND: typing.ClassVar[int] = 69
     name: str
@@ -113,19 +114,19 @@
 
 
 def make_pull(nonce: int, request: configuration.PullRequest) -> Pull:
-    """Return the question for what `request` lacks."""
+    """Return the message for a request."""
     return Pull(nonce, request.digest.values, request.digest.instances, request.lacking)
 
 
 def pull_request_of(pull: Pull) -> configuration.PullRequest:
-    """Return what the asking process has."""
+    """Return the request in a message."""
     return configuration.PullRequest(
         configuration.Digest(pull.values, pull.instances), tuple(pull.lacking)
     )
 
 
 def pack_statement(statement: membership.Statement) -> PackedStatement:
-    """Return a statement as it goes over the wire."""
+    """Return a statement in its wire form."""
     return (
         statement.name,
         statement.role,
@@ -139,10 +140,10 @@
 def unpack_statement(packed: PackedStatement) -> membership.Statement:
     """Return the statement; raise `DatagramError` for an unknown state."""
     try:
-        told = membership.MemberState(packed[5])
+        state = membership.MemberState(packed[5])
     except ValueError as error:
-        raise errors.DatagramError(str(error), step="read news", peer=packed[0]) from error
-    return membership.Statement(*packed[:5], told)
+        raise errors.DatagramError(str(error), step="read statement", peer=packed[0]) from error
+    return membership.Statement(*packed[:5], state)
 
 
 def pack_update(update: configuration.Update) -> bytes:
@@ -158,12 +159,12 @@
 
 
 def pack_head(delta: store.Delta) -> PackedDelta:
-    """Return all of a delta but its entries."""
+    """Return a delta without its entries."""
     return (delta.after, delta.complete, delta.floor, delta.names)
 
 
 def pack_instance(instance: assembly.Instance | None) -> PackedInstance | None:
-    """Return an instance as it goes over the wire; its name stands before it."""
+    """Return an instance in its wire form, without its name."""
     if instance is None:
         return None
     return (instance.role, instance.address, instance.zone, instance.leaving)
@@ -180,7 +181,7 @@
         if not CHECK_UPDATE(items):
             raise ValueError("a field has a wrong type")
     except Exception as error:
-        # The libraries raise many types for damaged input; each means the same to us.
+        # zlib and cbor2 raise many types of exceptions for damaged input.
         raise errors.DatagramError(f"{error}", step="read update", peer="peer") from error
     values_head, values, instances_head, instances, refusals = items
     return configuration.Update(
@@ -199,13 +200,13 @@
 def unpack_delta(
     head: PackedDelta, entries: typing.Iterable[tuple[str, store.Entry]]
 ) -> store.Delta:
-    """Return a delta of its head and entries."""
+    """Return a delta from its head and entries."""
     after, complete, floor, names = head
     return store.Delta(after, complete, floor, tuple(entries), names)
 
 
 def unpack_instance(name: str, packed: PackedInstance | None) -> assembly.Instance | None:
-    """Return the instance called `name`."""
+    """Return the instance of this name from its wire form."""
     if packed is None:
         return None
     role, address, zone, leaving = packed
