--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -65,7 +65,7 @@
         client = self.clients[source]
         path = store.path_of(call, now)
         client.get(
-            path, call.deadline, self.on_answer, self.on_failure, first_byte_by=call.begin_by
+            path, call.deadline, self.on_answer, self.on_failure, first_byte_by=call.first_byte_by
         )
 
     def switch_to(self, source: sourcing.Source) -> None:
@@ -83,7 +83,7 @@
 
     def is_current(self) -> bool:
         """Return whether the view is known to match the store."""
-        return self.reader.fresh
+        return self.reader.is_current
 
     def version(self) -> int:
         """Return the version of the configuration in force."""
@@ -91,7 +91,7 @@
 
     def is_direct(self) -> bool:
         """Return whether the store itself is being read and the view is current."""
-        return self.source is sourcing.STORE and self.reader.fresh
+        return self.source is sourcing.STORE and self.reader.is_current
 
     def schedule_read(self, version: int) -> None:
         """Schedule a read in case the watch does not deliver a peer's newer version in time."""
@@ -108,13 +108,13 @@
         if self.call is not None and self.call.kind is not reading.Kind.WATCH:
             return
         self.cancel_call()
-        self.reader.hurry(clock.now())
+        self.reader.read_now(clock.now())
         self.make_next_call()
 
     def reread(self) -> None:
         """Mark the view as stale and read all lists again, as after a pause."""
         self.cancel_call()
-        self.reader.distrust(clock.now())
+        self.reader.mark_stale(clock.now())
         self.on_change()
         self.make_next_call()
 
@@ -167,7 +167,7 @@
             self.log.event("store_lost", call=call.kind.value, source=source, reason=reason)
         self.sources.failed(self.source, now)
         others = self.sources.others(self.reader.complete, now)
-        self.reader.failed(now, store=without_store, at_once=others)
+        self.reader.on_failed(now, store=without_store, at_once=others)
         self.relay.expire(now)
         self.on_change()
         self.make_next_call()
@@ -176,13 +176,13 @@
         """Apply the result of a call to the view and to the relay."""
         if isinstance(result, store.Forgotten):
             self.log.event("history_gone", revision=call.revision)
-            self.reader.forgotten(now)
+            self.reader.on_history_lost(now)
             return
         for item in result.items:
             self.apply_item(item, now)
         if isinstance(result, store.Watched):
             from_relay = self.source is not sourcing.STORE
-            self.reader.watched(result.revision, bool(result.items), now, relay=from_relay)
+            self.reader.on_watched(result.revision, bool(result.items), now, relay=from_relay)
             self.sources.refresh(self.fleet)
             self.relay.advance(result.revision)
             return
@@ -190,7 +190,7 @@
             self.listed_keys = set()
             self.list_revision = result.revision
         self.listed_keys.update(item.key for item in result.items)
-        self.reader.listed(result.revision, result.next_after, now, current=result.current)
+        self.reader.on_listed(result.revision, result.next_after, now, current=result.current)
         if result.next_after:
             return
         if call.kind is reading.Kind.CONFIGURATION:
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -53,7 +53,7 @@
 
     def on_view(self) -> None:
         """Pass the changed view of the store to the core and send due announcements."""
-        self.core.view_fresh = self.feed.reader.fresh
+        self.core.view_fresh = self.feed.reader.is_current
         self.core.revision = self.feed.reader.revision or 0
         self.core.announcer.relays = self.feed.sources.leads
         now = clock.now()
--- a/src/ebonystile/core/carrying/reading.py
+++ b/src/ebonystile/core/carrying/reading.py
@@ -11,35 +11,35 @@
 
 from ebonystile.core import rng
 
-READ_MS = 1_500
+READ_TIMEOUT_MS = 1_500
 """Timeout of a plain call, in ms; the store usually answers in 4 ms, at worst in 300 ms."""
 
-BEGIN_MS = 600
+FIRST_BYTE_TIMEOUT_MS = 600
 """Timeout for the first byte of a plain call's answer, in ms, so that an unresponsive store does
 not delay startup. The whole call may take longer, as a large configuration is slow on narrow links.
 """
 
-WATCH_MS = 5_000
+WATCH_WAIT_MS = 5_000
 """How long a watch waits for changes, in ms. If its answer is lost, the process learns of changes
-only after the watch and `MARGIN_MS`, which must be sooner than a change has to be in force."""
+only after the watch and its margin, which must be sooner than a change has to be in force."""
 
-MARGIN_MS = 1_000
+WATCH_MARGIN_MS = 1_000
 """How much longer than its wait a watch may take, in ms."""
 
-RELAY_READ_MS = 600
+RELAY_READ_TIMEOUT_MS = 600
 """Timeout of a plain call to a relay, in ms."""
 
-RELAY_WATCH_MS = 1_000
-RELAY_MARGIN_MS = 400
+RELAY_WATCH_WAIT_MS = 1_000
+RELAY_WATCH_MARGIN_MS = 400
 """How long a watch of a relay waits, and how much longer it may take, in ms. Relays are free to
 call, and one that hangs or is cut off must be replaced well before a change has to be in force."""
 
-GATHER_MS = 150
+CHANGE_PAUSE_MS = 150
 """Pause after a watch that returned changes, in ms. Changes come in groups, and each watch that
 returns one is charged as a call."""
 
-BACKOFF_LEAST_MS = 100
-BACKOFF_MOST_MS = 1_000
+MIN_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 1_000
 """Range of the pause after a failed call, in ms; it doubles with each further failure."""
 
 
@@ -57,7 +57,7 @@
 
     A list continues after the key `after`; a watch waits for changes after `revision` until
     `wait_until`. The call has failed if it is not complete at `deadline`, or if no byte of the
-    answer has arrived at `begin_by`. `may_be_old` permits a stale read, of some seconds ago.
+    answer has arrived at `first_byte_by`. `allow_stale` permits a stale read, of some seconds ago.
     """
 
     kind: Kind
@@ -65,8 +65,8 @@
     after: str = ""
     revision: int = 0
     wait_until: int = 0
-    begin_by: int | None = None
-    may_be_old: bool = False
+    first_byte_by: int | None = None
+    allow_stale: bool = False
 
 
 class Reader:
@@ -83,17 +83,17 @@
         self.failing_since: int | None = None
         self.returned_at = 0
         self.complete = False
-        self.start_over()
-        self.may_be_old = True
+        self.restart()
+        self.allow_stale = True
 
-    def start_over(self) -> None:
+    def restart(self) -> None:
         """Schedule a full, consistent read."""
-        self.may_be_old = False
+        self.allow_stale = False
         self.todo = [(Kind.CONFIGURATION, ""), (Kind.ENTRIES, "")]
         self.revision = None
 
     @property
-    def fresh(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether the view is complete and current, and the last call succeeded."""
         return self.complete and not self.failures and not self.provisional
 
@@ -103,23 +103,25 @@
             return None
         if self.todo:
             kind, after = self.todo[0]
-            limit = RELAY_READ_MS if relay else READ_MS
-            begin_by = now + BEGIN_MS
-            return Call(kind, now + limit, after, begin_by=begin_by, may_be_old=self.may_be_old)
-        until = now + (RELAY_WATCH_MS if relay else WATCH_MS)
+            limit = RELAY_READ_TIMEOUT_MS if relay else READ_TIMEOUT_MS
+            first_byte_by = now + FIRST_BYTE_TIMEOUT_MS
+            return Call(
+                kind, now + limit, after, first_byte_by=first_byte_by, allow_stale=self.allow_stale
+            )
+        until = now + (RELAY_WATCH_WAIT_MS if relay else WATCH_WAIT_MS)
         if self.provisional:
             # The view may be stale until a watch has been answered, so this one must not wait.
             until = now
-        margin = RELAY_MARGIN_MS if relay else MARGIN_MS
+        margin = RELAY_WATCH_MARGIN_MS if relay else WATCH_MARGIN_MS
         return Call(Kind.WATCH, until + margin, "", self.revision or 0, until)
 
-    def listed(self, revision: int, next_after: str, now: int, *, current: bool = True) -> None:
+    def on_listed(self, revision: int, next_after: str, now: int, *, current: bool = True) -> None:
         """Record that a page of a list was read; `next_after` is its last key, empty at the end.
 
         `current` is False if the page came from a process that does not read the store itself.
         """
-        self.answered(now)
-        self.provisional = not current or self.may_be_old
+        self.on_answered(now)
+        self.provisional = not current or self.allow_stale
         if self.revision is None or revision < self.revision:
             self.revision = revision
         kind, _ = self.todo.pop(0)
@@ -129,14 +131,16 @@
             self.complete = True
         self.next_at = now
 
-    def watched(self, revision: int, news: bool, now: int, *, relay: bool = False) -> None:
-        """Record that a watch was answered; `news` tells if it returned changes."""
-        self.answered(now)
+    def on_watched(
+        self, revision: int, has_changes: bool, now: int, *, relay: bool = False
+    ) -> None:
+        """Record that a watch was answered; `has_changes` is set if it returned changes."""
+        self.on_answered(now)
         self.provisional = False
         self.revision = max(self.revision or 0, revision)
-        self.next_at = now + (GATHER_MS if news and not relay else 0)
+        self.next_at = now + (CHANGE_PAUSE_MS if has_changes and not relay else 0)
 
-    def answered(self, now: int) -> None:
+    def on_answered(self, now: int) -> None:
         """Record a successful call."""
         if self.store_failed:
             self.returned_at = now
@@ -144,13 +148,13 @@
         self.failures = 0
         self.failing_since = None
 
-    def forgotten(self, now: int) -> None:
+    def on_history_lost(self, now: int) -> None:
         """Record that the store has compacted our revision, and start over."""
-        self.answered(now)
-        self.start_over()
+        self.on_answered(now)
+        self.restart()
         self.next_at = now
 
-    def failed(self, now: int, *, store: bool = True, at_once: bool = False) -> None:
+    def on_failed(self, now: int, *, store: bool = True, at_once: bool = False) -> None:
         """Record a failed call; `at_once` skips the pause, as another source can be asked now.
 
         `store` tells whether the store failed, and not only a relay.
@@ -158,18 +162,18 @@
         self.store_failed = self.store_failed or store
         if self.failing_since is None:
             self.failing_since = now
-        pause = min(BACKOFF_MOST_MS, BACKOFF_LEAST_MS << min(self.failures, 10))
+        pause = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << min(self.failures, 10))
         self.failures += 1
         self.next_at = now
         if not at_once:
             self.next_at += pause // 2 + int(self.randomness.uniform(0, pause))
 
-    def distrust(self, now: int) -> None:
+    def mark_stale(self, now: int) -> None:
         """Read everything again, and do not count the view as fresh until that is done."""
         self.complete = False
-        self.hurry(now)
+        self.read_now(now)
 
-    def hurry(self, now: int) -> None:
+    def read_now(self, now: int) -> None:
         """Read everything again at once, as a peer has a newer configuration."""
-        self.start_over()
+        self.restart()
         self.next_at = now
--- a/src/ebonystile/platform/store.py
+++ b/src/ebonystile/platform/store.py
@@ -53,7 +53,7 @@
 
 def path_of(call: reading.Call, now: int) -> str:
     """Return path and query of a call made `now` (ms)."""
-    old = OLD_WILL_DO if call.may_be_old else ""
+    old = OLD_WILL_DO if call.allow_stale else ""
     if call.kind is not reading.Kind.WATCH:
         after = f"&after={quoted(call.after)}" if call.after else ""
         return f"{RANGE_PATH}?prefix={PREFIXES[call.kind]}{after}{old}"
--- a/tests/carrier/test_feed.py
+++ b/tests/carrier/test_feed.py
@@ -52,7 +52,7 @@
 def take_list(made, kind, items, revision, next_after="", after=""):
     call = reading.Call(kind, clock.now() + 1_000, after)
     if not made.reader.todo:
-        made.reader.start_over()
+        made.reader.restart()
     while made.reader.todo[0][0] is not kind:
         made.reader.todo.pop(0)
     made.apply_result(call, store.Listed(tuple(items), revision, next_after, True), clock.now())
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -621,13 +621,13 @@
     Mutation(
         "an old state is followed by a watch at once",
         CORE + "carrying/reading.py",
-        "self.provisional = not current or self.may_be_old",
+        "self.provisional = not current or self.allow_stale",
         "self.provisional = not current",
     ),
     Mutation(
         "only a start reads an old state",
         CORE + "carrying/reading.py",
-        "        self.may_be_old = False\n",
+        "        self.allow_stale = False\n",
         "",
     ),
     Mutation(
