--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -123,7 +123,7 @@
 
         A process that starts during an outage of the store has no other source than its seeds.
         """
-        self.sources.offer(address)
+        self.sources.add_announced(address)
         if not self.reader.complete and self.call is None:
             self.reader.next_at = clock.now()
             self.make_next_call()
@@ -145,7 +145,7 @@
             self.record_failure(call, str(error), without_store)
             return
         self.counts["store_answered" if self.source is sourcing.STORE else "relay_answered"] += 1
-        self.sources.worked(self.source)
+        self.sources.on_answered(self.source)
         was_failing = self.reader.failing_since
         self.apply_result(call, result, now)
         if was_failing is not None:
@@ -165,8 +165,8 @@
         if self.reader.failing_since is None:
             source = source_text(self.source)
             self.log.event("store_lost", call=call.kind.value, source=source, reason=reason)
-        self.sources.failed(self.source, now)
-        others = self.sources.others(self.reader.complete, now)
+        self.sources.on_failed(self.source, now)
+        others = self.sources.has_alternative(self.reader.complete, now)
         self.reader.on_failed(now, store=without_store, at_once=others)
         self.relay.expire(now)
         self.on_change()
--- a/src/ebonystile/core/carrying/sourcing.py
+++ b/src/ebonystile/core/carrying/sourcing.py
@@ -15,23 +15,23 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import fleet
 
-WATCHERS = 2
+MIN_WATCHERS = 2
 """Minimum number of sidecars in each availability zone that watch the store."""
 
-SIDECARS_EACH = 50
+SIDECARS_PER_WATCHER = 50
 """Sidecars of a zone per watcher, in zones with more than 100.
 
 A relay keeps one connection for each reader, and its server closes the oldest beyond 256. The
 margin is for the readers of relays that have failed.
 """
 
-MAX_ANNOUNCED = 8
+MAX_ANNOUNCED_RELAYS = 8
 """Bound on the announced relays that are kept, the latest ones; each zone has two."""
 
-RELAY_BAD_MS = 2_000
+RELAY_EXCLUSION_MS = 2_000
 """How long a relay is skipped after a failed call, in ms."""
 
-STORE_BAD_MS = 2_000
+STORE_EXCLUSION_MS = 2_000
 """How long the store is skipped after a failed call while a relay can be read, in ms."""
 
 STORE = None
@@ -47,8 +47,8 @@
     `own` is this process's address. `relays` are the watchers of all zones, best first, computed
     from the fleet's `index`. `announced` are relays that announced themselves, and `seeds` the
     addresses from the settings; both are used until the process has a view. `is_watcher` is set if
-    this process watches the store, `leads` if it also announces itself as a relay, as the first few
-    of each zone do. `bad_until` is when a failed source may be used again, in ms.
+    this process watches the store, `announces_relay` if it also announces itself as a relay, as the
+    first few of each zone do. `excluded_until` is when a failed source may be used again, in ms.
     """
 
     own: view.Address
@@ -57,9 +57,9 @@
     relays: tuple[view.Address, ...] = ()
     announced: tuple[view.Address, ...] = ()
     is_watcher: bool = False
-    leads: bool = False
+    announces_relay: bool = False
     index: fleet.Index | None = None
-    bad_until: dict[Source, int] = dataclasses.field(default_factory=dict)
+    excluded_until: dict[Source, int] = dataclasses.field(default_factory=dict)
 
     def refresh(self, known: fleet.Fleet) -> None:
         """Recompute the watchers if the list of upstreams has changed.
@@ -74,26 +74,28 @@
         for upstream in known.by_address.values():
             by_zone.setdefault(upstream.zone, []).append(upstream)
         watching = {
-            zone: [u.address for u in sorted(members, key=place)[: watchers(len(members))]]
+            zone: [
+                u.address for u in sorted(members, key=watcher_rank)[: watcher_count(len(members))]
+            ]
             for zone, members in by_zone.items()
         }
         near = watching.get(self.zone, [])
         far = [addresses[0] for zone, addresses in sorted(watching.items()) if zone != self.zone]
         self.is_watcher = self.own in near
-        self.leads = self.own in near[:WATCHERS]
-        near = sorted(near, key=self.preference)
+        self.announces_relay = self.own in near[:MIN_WATCHERS]
+        near = sorted(near, key=self.relay_rank)
         self.relays = tuple(address for address in (*near, *far) if address != self.own)
 
-    def offer(self, address: view.Address) -> None:
+    def add_announced(self, address: view.Address) -> None:
         """Add a relay that has announced itself."""
         if address not in self.announced:
-            self.announced = (*self.announced, address)[-MAX_ANNOUNCED:]
+            self.announced = (*self.announced, address)[-MAX_ANNOUNCED_RELAYS:]
 
-    def preference(self, relay: view.Address) -> int:
+    def relay_rank(self, relay: view.Address) -> int:
         """Return the rank of a relay for this process; readers spread evenly over the relays."""
         return xxhash.xxh3_64_intdigest(f"{self.own}{relay}".encode())
 
-    def ordered(self, complete: bool) -> list[Source]:
+    def ranked(self, complete: bool) -> list[Source]:
         """Return all sources, best first; `complete` tells whether the process has a full view.
 
         At startup the store comes first: its data is current, and no relay is known yet.
@@ -106,30 +108,32 @@
 
     def choose(self, complete: bool, now: int) -> Source:
         """Return the best source that has not failed recently, else the one that failed first."""
-        ordered = self.ordered(complete)
-        good = [source for source in ordered if self.bad_until.get(source, 0) <= now]
-        if good:
-            return good[0]
-        return min(ordered, key=lambda source: self.bad_until[source])
+        ranked = self.ranked(complete)
+        available = [source for source in ranked if self.excluded_until.get(source, 0) <= now]
+        if available:
+            return available[0]
+        return min(ranked, key=lambda source: self.excluded_until[source])
 
-    def others(self, complete: bool, now: int) -> bool:
+    def has_alternative(self, complete: bool, now: int) -> bool:
         """Return whether there is a source that has not failed recently."""
-        return any(self.bad_until.get(s, 0) <= now for s in self.ordered(complete))
+        return any(self.excluded_until.get(s, 0) <= now for s in self.ranked(complete))
 
-    def failed(self, source: Source, now: int) -> None:
+    def on_failed(self, source: Source, now: int) -> None:
         """Skip a source for a while after a failed call."""
-        self.bad_until[source] = now + (STORE_BAD_MS if source is STORE else RELAY_BAD_MS)
+        self.excluded_until[source] = now + (
+            STORE_EXCLUSION_MS if source is STORE else RELAY_EXCLUSION_MS
+        )
 
-    def worked(self, source: Source) -> None:
+    def on_answered(self, source: Source) -> None:
         """Record that a source has answered."""
-        self.bad_until.pop(source, None)
+        self.excluded_until.pop(source, None)
 
 
-def watchers(sidecars: int) -> int:
+def watcher_count(sidecars: int) -> int:
     """Return how many of the sidecars of a zone watch the store."""
-    return max(WATCHERS, math.ceil(sidecars / SIDECARS_EACH))
+    return max(MIN_WATCHERS, math.ceil(sidecars / SIDECARS_PER_WATCHER))
 
 
-def place(upstream: fleet.Upstream) -> tuple[int, int]:
+def watcher_rank(upstream: fleet.Upstream) -> tuple[int, int]:
     """Return the sort key by which a zone's watchers are selected; leaving sidecars come last."""
     return (upstream.leaving, upstream.key)
--- a/tests/carrying/test_sourcing.py
+++ b/tests/carrying/test_sourcing.py
@@ -25,7 +25,7 @@
 def test_all_processes_agree_on_who_watches_without_talking():
     known = make_fleet()
     everyone = [sources_of(known, u.address, u.zone) for u in known.upstreams.values()]
-    assert sum(s.is_watcher for s in everyone) == 3 * sourcing.WATCHERS
+    assert sum(s.is_watcher for s in everyone) == 3 * sourcing.MIN_WATCHERS
     watching = {s.own for s in everyone if s.is_watcher}
     for reader in everyone:
         assert set(reader.relays) <= watching and reader.own not in reader.relays
@@ -48,7 +48,7 @@
 def test_readers_spread_over_the_relays_of_their_zone():
     known = make_fleet()
     chosen = [sources_of(known, (f"10.9.0.{n}", 1)).choose(True, 0) for n in range(200)]
-    assert len(set(chosen)) == sourcing.WATCHERS
+    assert len(set(chosen)) == sourcing.MIN_WATCHERS
     assert min(chosen.count(c) for c in set(chosen)) > 60
 
 
@@ -59,10 +59,10 @@
     for _ in range(len(reader.relays) + 1):
         source = reader.choose(True, 0)
         seen.append(source)
-        reader.failed(source, 0)
+        reader.on_failed(source, 0)
     assert seen == [*reader.relays, sourcing.STORE]
     assert reader.choose(True, 10) in seen
-    assert reader.choose(True, sourcing.RELAY_BAD_MS) == reader.relays[0]
+    assert reader.choose(True, sourcing.RELAY_EXCLUSION_MS) == reader.relays[0]
 
 
 def test_a_watcher_that_the_store_refuses_reads_from_others_and_tries_again():
@@ -73,15 +73,15 @@
         if (s := sources_of(known, u.address, u.zone)).is_watcher
     )
     assert watcher.choose(True, 0) is sourcing.STORE
-    watcher.failed(sourcing.STORE, 0)
+    watcher.on_failed(sourcing.STORE, 0)
     assert watcher.choose(True, 1) in watcher.relays
-    assert watcher.choose(True, sourcing.STORE_BAD_MS) is sourcing.STORE
+    assert watcher.choose(True, sourcing.STORE_EXCLUSION_MS) is sourcing.STORE
 
 
 def test_a_start_asks_the_store_and_then_the_seeds():
     starting = sourcing.Sources(("10.9.0.1", 1), "a", (("10.0.0.7", 1),))
     assert starting.choose(False, 0) is sourcing.STORE
-    starting.failed(sourcing.STORE, 0)
+    starting.on_failed(sourcing.STORE, 0)
     assert starting.choose(False, 1) == ("10.0.0.7", 1)
 
 
@@ -101,7 +101,7 @@
     """
     known = make_fleet(zones=("a",), each=400)
     everyone = [sources_of(known, u.address) for u in known.upstreams.values()]
-    assert sum(s.is_watcher for s in everyone) == 400 // sourcing.SIDECARS_EACH
+    assert sum(s.is_watcher for s in everyone) == 400 // sourcing.SIDECARS_PER_WATCHER
     readers = collections.Counter(s.choose(True, 0) for s in everyone if not s.is_watcher)
-    assert max(readers.values()) < 2 * sourcing.SIDECARS_EACH
+    assert max(readers.values()) < 2 * sourcing.SIDECARS_PER_WATCHER
     assert max(readers.values()) < pages.MAX_CONNECTIONS / 2
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -639,8 +639,8 @@
     Mutation(
         "relays grow with their zone",
         CORE + "carrying/sourcing.py",
-        "return max(WATCHERS, math.ceil(sidecars / SIDECARS_EACH))",
-        "return WATCHERS",
+        "return max(MIN_WATCHERS, math.ceil(sidecars / SIDECARS_PER_WATCHER))",
+        "return MIN_WATCHERS",
     ),
     Mutation(
         "balancers ask nobody in a drained zone",
