--- a/benches/control.py
+++ b/benches/control.py
@@ -214,7 +214,7 @@
     }
 
 
-def open_flows(home: sidecar_state.MemberState, payloads: list[tuple]) -> None:
+def open_flows(home: sidecar_state.SidecarState, payloads: list[tuple]) -> None:
     """Hand the callers' datagrams to the core."""
     for _, caller, payload in payloads:
         forward = messages.Forward(caller, ("10.0.0.9", 7000), (), payload)
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -5,12 +5,12 @@
 
 
 def on_subscribe(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Subscribe, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Subscribe, now: int
 ) -> None:
     """Start a feed, or take it up where the caller says it stands."""
     feed = flow.feeds.get(message.request)
     if feed is None:
-        if not home.serving(flow.service):
+        if not home.can_start(flow.service):
             # The flow is about to move; the caller's next try finds the new home.
             return
         feed = flows.Feed(message.request, message.path, message.position, message.position)
@@ -26,17 +26,17 @@
 
 
 def source_of(
-    home: sidecar_state.State, service: str, path: str, position: int
-) -> sidecar_state.Source:
+    home: sidecar_state.SidecarState, service: str, path: str, position: int
+) -> sidecar_state.FeedSource:
     """Return the polled source of a feed, starting it at `position` if it is new."""
     source = home.sources.get(path)
     if source is None:
-        source = home.sources[path] = sidecar_state.Source(path, service, newest=position)
+        source = home.sources[path] = sidecar_state.FeedSource(path, service, newest=position)
     return source
 
 
 def on_acknowledge(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Acknowledge, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Acknowledge, now: int
 ) -> None:
     """Note what the caller has, and send what follows."""
     feed = flow.feeds.get(message.request)
@@ -51,7 +51,7 @@
     deliver(home, flow, feed, now)
 
 
-def widen(home: sidecar_state.State, feed: flows.Feed) -> None:
+def widen(home: sidecar_state.SidecarState, feed: flows.Feed) -> None:
     """Let twice as many events be under way after a resend, up to the limit."""
     if feed.window is None:
         return
@@ -60,7 +60,7 @@
         feed.window = None
 
 
-def deliver(home: sidecar_state.State, flow: flows.Flow, feed: flows.Feed, now: int) -> None:
+def deliver(home: sidecar_state.SidecarState, flow: flows.Flow, feed: flows.Feed, now: int) -> None:
     """Send the events that follow, in order, up to a window beyond the last acknowledged."""
     source = home.sources.get(feed.path)
     if source is None:
@@ -73,10 +73,10 @@
         if feed.sent == feed.acknowledged:
             feed.resend_at = now + home.limits.feed_resend
         feed.sent += 1
-        home.tell(flow, messages.FeedEvent(flow.id, feed.request, feed.sent, body))
+        home.send_to_flow(flow, messages.FeedEvent(flow.id, feed.request, feed.sent, body))
 
 
-def on_batch(home: sidecar_state.State, event: events.FeedBatch, now: int) -> None:
+def on_batch(home: sidecar_state.SidecarState, event: events.FeedBatch, now: int) -> None:
     """Keep the upstream's events and deliver them."""
     source = home.sources.get(event.path)
     if source is None:
@@ -92,13 +92,13 @@
     poll(home, now)
 
 
-def trim(home: sidecar_state.State, source: sidecar_state.Source) -> None:
+def trim(home: sidecar_state.SidecarState, source: sidecar_state.FeedSource) -> None:
     """Keep the events within their bound: drop those that all have, then the newest.
 
     Dropping the oldest took from a subscriber that had fallen behind just what was fetched for it:
     its feed stood still for ever. The newest are asked for again once it has caught up.
     """
-    over = len(source.events) - sidecar_state.SOURCE_EVENTS
+    over = len(source.events) - sidecar_state.MAX_SOURCE_EVENTS
     if over <= 0:
         return
     feeds = [feed.acknowledged for _, feed in subscribers(home, source.path)]
@@ -109,7 +109,7 @@
         del source.events[position]
 
 
-def on_failed(home: sidecar_state.State, event: events.FeedFailed, now: int) -> None:
+def on_failed(home: sidecar_state.SidecarState, event: events.FeedFailed, now: int) -> None:
     """Ask again a little later; subscribers keep their positions meanwhile."""
     source = home.sources.get(event.path)
     if source is not None:
@@ -118,7 +118,7 @@
         home.trace("feed_failed", path=event.path, reason=event.reason)
 
 
-def fed_flows(home: sidecar_state.State) -> list[flows.Flow]:
+def fed_flows(home: sidecar_state.SidecarState) -> list[flows.Flow]:
     """Return the flows with feeds that live here, forgetting those that have none any more."""
     living = []
     for flow_id in list(home.fed):
@@ -130,7 +130,7 @@
     return living
 
 
-def subscribers(home: sidecar_state.State, path: str) -> list[tuple[flows.Flow, flows.Feed]]:
+def subscribers(home: sidecar_state.SidecarState, path: str) -> list[tuple[flows.Flow, flows.Feed]]:
     """Return the feeds on one path of the flows that live here."""
     return [
         (flow, feed)
@@ -140,7 +140,7 @@
     ]
 
 
-def poll(home: sidecar_state.State, now: int) -> None:
+def poll(home: sidecar_state.SidecarState, now: int) -> None:
     """Ask the upstream for what the slowest subscriber of each feed lacks; stop unused ones."""
     for source in list(home.sources.values()):
         if source.polling or source.poll_at > now:
@@ -156,7 +156,7 @@
         home.emit(effects.PollFeed(source.service, source.path, after))
 
 
-def resend(home: sidecar_state.State, now: int) -> None:
+def resend(home: sidecar_state.SidecarState, now: int) -> None:
     """Send the first unacknowledged event again, by another balancer each second time.
 
     Its acknowledgement opens the window anew. With all of them sent again each time,
--- a/src/ebonystile/core/calls/flows.py
+++ b/src/ebonystile/core/calls/flows.py
@@ -41,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Flow:
-    """One open flow. `answers_for` holds the incarnations whose tokens are valid at this home.
+    """One open flow; tokens of the `honoured_incarnations` are valid at this home.
 
     A request without a record and with a deadline at or before `barred_before` was refused for
     good; at or before `forgotten_before` its outcome is unknown. A `lost` flow may have its home
     at the target of a handover, or none; it runs nothing here.
 
-    A flow that no sibling accepted is not offered again before `move_at`; `lease_told_at` is when
+    A flow that no sibling accepted is not offered again before `move_at`; `lease_sent_at` is when
     its caller was last informed of the shortened lease (both in ms).
     """
 
@@ -57,7 +57,7 @@
     caller: view.Address
     via: view.Address
     lease_until: int
-    answers_for: tuple[int, ...]
+    honoured_incarnations: tuple[int, ...]
     forgotten_before: int = 0
     barred_before: int = 0
     feeds: dict[bytes, Feed] = dataclasses.field(default_factory=dict)
@@ -65,23 +65,23 @@
     moved_to: view.Endpoint | None = None
     lost: bool = False
     move_at: int = 0
-    lease_told_at: int = 0
+    lease_sent_at: int = 0
 
     @property
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
         """Return whether this sidecar must not run any request of the flow."""
         return self.handover is not None or self.moved_to is not None or self.lost
 
 
-ANSWERS_FOR_LIMIT = 8
-"""Most incarnations in `Flow.answers_for`; the newest are kept.
+MAX_HONOURED_INCARNATIONS = 8
+"""Most incarnations in `Flow.honoured_incarnations`; the newest are kept.
 
 Each handover adds one. A caller gets its new token within a heartbeat; one that was paused for
 more handovers than this gets `UnknownFlow` and opens a new flow.
 """
 
 
-def joined(*groups: tuple[int, ...]) -> tuple[int, ...]:
-    """Return the newest `ANSWERS_FOR_LIMIT` incarnations of the groups, the oldest first."""
+def merge_incarnations(*groups: tuple[int, ...]) -> tuple[int, ...]:
+    """Return the newest incarnations of the groups, at most the limit, the oldest first."""
     ordered = dict.fromkeys(incarnation for group in groups for incarnation in group)
-    return tuple(ordered)[-ANSWERS_FOR_LIMIT:]
+    return tuple(ordered)[-MAX_HONOURED_INCARNATIONS:]
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -26,12 +26,12 @@
 a heartbeat after a third of the lease, and each report postpones that heartbeat."""
 
 
-def must_move(home: sidecar_state.State, flow: flows.Flow) -> bool:
+def must_move(home: sidecar_state.SidecarState, flow: flows.Flow) -> bool:
     """Return whether the flow's home is here and has to move to another sidecar."""
-    return not flow.fenced and (home.leaving != "" or flow.service not in home.serves)
+    return not flow.is_fenced and (home.leaving != "" or flow.service not in home.serves)
 
 
-def advance(home: sidecar_state.State, now: int) -> None:
+def advance(home: sidecar_state.SidecarState, now: int) -> None:
     """Advance every flow that must move by one step."""
     if not home.moving:
         return
@@ -48,7 +48,7 @@
             fence(home, flow, now)
 
 
-def fence(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def fence(home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Stop running requests of the flow and begin its transfer, unless requests are pending."""
     records = home.ledger.of_flow(flow.id)
     if any(entry.state in ledger.PENDING for entry in records):
@@ -62,7 +62,7 @@
         wait_here(home, flow, now)
         return
     for entry in records:
-        if entry.state is ledger.State.RECEIVING:
+        if entry.state is ledger.RequestState.RECEIVING:
             # Neither run nor answered: the caller sends the parts again, to the new home.
             requests.forget_parts(home, entry)
             home.ledger.remove(entry)
@@ -75,7 +75,7 @@
     send(home, flow, now)
 
 
-def wait_here(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def wait_here(home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Keep a flow that no sidecar takes, with a short lease, and offer it again later.
 
     If all upstreams of a service stop at once, no sidecar takes its flows. Without the short
@@ -84,19 +84,19 @@
     """
     flow.move_at = now + home.limits.successor_retry
     flow.lease_until = min(flow.lease_until, now + home.limits.waiting_lease)
-    if now - flow.lease_told_at >= LEASE_TOLD_AGAIN_MS:
-        flow.lease_told_at = now
+    if now - flow.lease_sent_at >= LEASE_TOLD_AGAIN_MS:
+        flow.lease_sent_at = now
         tell_home(home, flow)
 
 
-def tell_home(home: sidecar_state.State, flow: flows.Flow) -> None:
+def tell_home(home: sidecar_state.SidecarState, flow: flows.Flow) -> None:
     """Send the caller the current token and lease of its flow."""
-    moved = caller_messages.Moved(flow.id, flow.token, flow.lease_until, flow.answers_for)
-    home.tell(flow, moved)
+    moved = caller_messages.Moved(flow.id, flow.token, flow.lease_until, flow.honoured_incarnations)
+    home.send_to_flow(flow, moved)
 
 
 def next_target(
-    home: sidecar_state.State, flow: flows.Flow, refused: frozenset[int] | set[int], now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, refused: frozenset[int] | set[int], now: int
 ) -> view.Endpoint | None:
     """Return the least loaded sibling that has not refused, else the first in the flow's ranking.
 
@@ -108,7 +108,7 @@
     return lightest or ranking.first(flow.id, choices)
 
 
-def send(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def send(home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Send the flow to its target, or first a query for the target's incarnation."""
     handover = flow.handover
     if handover.deadline <= now and not handover.committed:
@@ -119,7 +119,7 @@
     home.emit(effects.SendTransfer(handover.target.address, content(home, flow)))
 
 
-def content(home: sidecar_state.State, flow: flows.Flow) -> transfer.Transfer:
+def content(home: sidecar_state.SidecarState, flow: flows.Flow) -> transfer.Transfer:
     """Return the transfer message; a query without records if the incarnation is unknown."""
     handover = flow.handover
     records = ()
@@ -133,7 +133,7 @@
         handover.deadline,
         flow.id,
         flow.service,
-        flow.answers_for,
+        flow.honoured_incarnations,
         flow.caller,
         flow.via,
         max(flow.forgotten_before, home.ledger.forgotten_before),
@@ -160,7 +160,7 @@
     )
 
 
-def on_answered(home: sidecar_state.State, event: events.TransferAnswered, now: int) -> None:
+def on_answered(home: sidecar_state.SidecarState, event: events.TransferAnswered, now: int) -> None:
     """Process the target's reply to a transfer."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.reply.id:
@@ -185,7 +185,7 @@
         try_another(home, flow, now)
 
 
-def may_be_lost(home: sidecar_state.State, handover: flows.Handover, now: int) -> bool:
+def may_be_lost(home: sidecar_state.SidecarState, handover: flows.Handover, now: int) -> bool:
     """Return whether it can no longer be found out if the target has accepted the flow.
 
     Once the transfer may have reached its target, no other sidecar may be tried. Without this
@@ -196,7 +196,7 @@
     return handover.deadline <= now or handover.target.key not in home.view.endpoints
 
 
-def lose(home: sidecar_state.State, flow: flows.Flow) -> None:
+def lose(home: sidecar_state.SidecarState, flow: flows.Flow) -> None:
     """Abandon a handover with an unknown result; the flow stays fenced here.
 
     The caller's messages are forwarded to other sidecars: to the target if it has accepted the
@@ -208,7 +208,7 @@
     home.trace("handover_lost", flow.id)
 
 
-def complete(home: sidecar_state.State, flow: flows.Flow) -> None:
+def complete(home: sidecar_state.SidecarState, flow: flows.Flow) -> None:
     """Finish a handover: drop the flow's records and forward its messages to the new home."""
     transfer_id = flow.handover.id
     flow.moved_to = flow.handover.target
@@ -220,7 +220,7 @@
     home.trace("handed_over", flow.id, target=flow.moved_to.name, transfer=transfer_id)
 
 
-def try_another(home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def try_another(home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Offer the flow to the next sibling under a new transfer id, after a final refusal.
 
     If all siblings have refused, the handover ends and the flow is served here again until the
@@ -243,7 +243,7 @@
     )
 
 
-def on_failed(home: sidecar_state.State, event: events.TransferFailed, now: int) -> None:
+def on_failed(home: sidecar_state.SidecarState, event: events.TransferFailed, now: int) -> None:
     """Retry after a failed exchange: another target after a query, else the same one and id."""
     flow = home.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.id:
@@ -256,7 +256,7 @@
         try_another(home, flow, now)
 
 
-def on_arrived(home: sidecar_state.State, event: events.TransferArrived, now: int) -> None:
+def on_arrived(home: sidecar_state.SidecarState, event: events.TransferArrived, now: int) -> None:
     """Accept a flow or refuse it for good; a repeated transfer gets the same reply."""
     message = event.transfer
     accepted = message.id in home.accepted_transfers
@@ -273,7 +273,7 @@
     home.emit(effects.AnswerTransfer(event.handle, reply))
 
 
-def reason_against(home: sidecar_state.State, message: transfer.Transfer, now: int) -> str:
+def reason_against(home: sidecar_state.SidecarState, message: transfer.Transfer, now: int) -> str:
     """Return why the flow cannot be accepted, or an empty string.
 
     A refusal is final: the old home may have handed the flow to another sidecar since, and a
@@ -283,7 +283,7 @@
         return "refused before"
     if message.incarnation and message.deadline <= now:
         return "the transfer's deadline has passed"
-    if not home.serving(message.service):
+    if not home.can_start(message.service):
         return home.leaving or "does not serve the service now"
     known = home.flows.get(message.flow)
     if known is None and len(home.flows) >= home.limits.flows:
@@ -291,7 +291,7 @@
     if known is not None and known.handover is not None and not comes_back(known, message):
         # This sidecar's own transfer may still be accepted elsewhere, so the flow stays fenced.
         return "the flow is on its way elsewhere"
-    if home.ledger.full:
+    if home.ledger.is_full:
         return "the ledger is full"
     return ""
 
@@ -301,14 +301,14 @@
     return view.unpack_token(known.token).incarnation in message.answers_for
 
 
-def adopt(home: sidecar_state.State, message: transfer.Transfer, now: int) -> None:
+def adopt(home: sidecar_state.SidecarState, message: transfer.Transfer, now: int) -> None:
     """Become the flow's home, and merge another home of the same flow on this sidecar into it.
 
     A fenced one is not merged: its flow may have another home, whose tokens would then be valid
     at two sidecars.
     """
     known = home.flows.get(message.flow)
-    if known is not None and known.fenced:
+    if known is not None and known.is_fenced:
         known = None
     incarnation = opening.new_incarnation(home)
     flow = flows.Flow(
@@ -318,7 +318,7 @@
         tuple(message.caller),
         tuple(message.via),
         now + home.limits.flow_lease,
-        flows.joined(message.answers_for, (incarnation,)),
+        flows.merge_incarnations(message.answers_for, (incarnation,)),
         message.forgotten_before,
         message.barred_before,
     )
@@ -327,7 +327,9 @@
     for request, path, position in message.feeds:
         flow.feeds[request] = flows.Feed(request, path, position, position)
         home.fed.add(flow.id)
-        home.sources.setdefault(path, sidecar_state.Source(path, message.service, newest=position))
+        home.sources.setdefault(
+            path, sidecar_state.FeedSource(path, message.service, newest=position)
+        )
     home.flows[flow.id] = flow
     for record in message.records:
         adopt_record(home, flow, record)
@@ -338,13 +340,15 @@
 
 def join(flow: flows.Flow, known: flows.Flow) -> None:
     """Merge the tokens, refusal times and feeds of a second home into an accepted flow."""
-    flow.answers_for = flows.joined(known.answers_for, flow.answers_for)
+    flow.honoured_incarnations = flows.merge_incarnations(
+        known.honoured_incarnations, flow.honoured_incarnations
+    )
     flow.forgotten_before = max(flow.forgotten_before, known.forgotten_before)
     flow.barred_before = max(flow.barred_before, known.barred_before)
     flow.feeds = {**known.feeds, **flow.feeds}
 
 
-def adopt_record(home: sidecar_state.State, flow: flows.Flow, record: tuple) -> None:
+def adopt_record(home: sidecar_state.SidecarState, flow: flows.Flow, record: tuple) -> None:
     """Store a finished record of the old home unless the request has one here."""
     request, number, service, deadline, idempotent, keep_until, *outcome = record
     if home.ledger.get(flow.id, request) is not None:
@@ -357,14 +361,14 @@
         deadline,
         idempotent,
         0,
-        ledger.State(number),
+        ledger.RequestState(number),
         keep_until,
     )
     entry.answer, entry.status, entry.body, entry.reason, entry.retry_at = outcome
     home.ledger.add(entry)
 
 
-def expire(home: sidecar_state.State, now: int) -> None:
+def expire(home: sidecar_state.SidecarState, now: int) -> None:
     """Forget the replies to old transfers.
 
     A refused transfer is refused after its deadline anyway. An accepted one is kept for
--- a/src/ebonystile/core/calls/ledger.py
+++ b/src/ebonystile/core/calls/ledger.py
@@ -13,7 +13,7 @@
 """Flow id and request id."""
 
 
-class State(enum.IntEnum):
+class RequestState(enum.IntEnum):
     """The state of a request; the values are sent in transfers."""
 
     RECEIVING = 1
@@ -24,8 +24,8 @@
     UNKNOWN = 6
 
 
-FINAL = frozenset({State.ANSWERED, State.NOT_RUN, State.UNKNOWN})
-PENDING = frozenset({State.QUEUED, State.RUNNING})
+FINAL = frozenset({RequestState.ANSWERED, RequestState.NOT_RUN, RequestState.UNKNOWN})
+PENDING = frozenset({RequestState.QUEUED, RequestState.RUNNING})
 
 
 @dataclasses.dataclass(slots=True)
@@ -39,7 +39,7 @@
     deadline: int
     idempotent: bool
     total: int
-    state: State
+    state: RequestState
     keep_until: int
     parts: dict[int, bytes] = dataclasses.field(default_factory=dict)
     started_at: int = 0
@@ -56,9 +56,9 @@
         return (self.flow, self.request)
 
     @property
-    def delivered(self) -> bool:
+    def is_delivered(self) -> bool:
         """Return whether the caller has acknowledged the answer, which is no longer stored."""
-        return self.state is State.ANSWERED and not self.answer
+        return self.state is RequestState.ANSWERED and not self.answer
 
 
 class Ledger:
@@ -86,7 +86,7 @@
         return list(self.by_flow.get(flow, {}).values())
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether no further record may be added for a new request."""
         return len(self.entries) >= self.limit
 
@@ -133,4 +133,4 @@
     flow: bytes, request: bytes, service: str, deadline: int, keep_until: int
 ) -> Entry:
     """Return a `NOT_RUN` record, which keeps later copies of the request from running here."""
-    return Entry(flow, request, service, "", deadline, False, 0, State.NOT_RUN, keep_until)
+    return Entry(flow, request, service, "", deadline, False, 0, RequestState.NOT_RUN, keep_until)
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -11,13 +11,16 @@
 INCARNATION_BYTES = 8
 
 
-def new_incarnation(home: sidecar_state.State) -> int:
+def new_incarnation(home: sidecar_state.SidecarState) -> int:
     """Return the number of a new home; nobody can guess it."""
     return int.from_bytes(home.randomness.randbytes(INCARNATION_BYTES))
 
 
 def on_open(
-    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.Open, now: int
+    home: sidecar_state.SidecarState,
+    forward: messages.Forward,
+    message: caller_messages.Open,
+    now: int,
 ) -> None:
     """Answer an open with a token, here or at a sibling; repeating it changes nothing."""
     flow = home.flows.get(message.flow)
@@ -26,7 +29,7 @@
         flow.via = forward.via
         if flow.moved_to is not None:
             home.forward_to(flow.moved_to, forward)
-        elif not flow.fenced:
+        elif not flow.is_fenced:
             tell_opened(home, flow, message.attempt)
         return
     chosen = siblings.pick(home, forward, message, now) if flow is None else None
@@ -34,18 +37,21 @@
         home.trace("passed", message.flow, target=chosen.name)
         home.forward_to(chosen, forward)
         return
-    if flow is None and home.serving(message.service) and len(home.flows) < home.limits.flows:
+    if flow is None and home.can_start(message.service) and len(home.flows) < home.limits.flows:
         tell_opened(home, take(home, forward, message, now), message.attempt)
         return
     if not home.pass_on(forward, message.flow, message.service):
         retry_at = now + int(RETRY_OPEN * (1 + home.randomness.random()))
         reason = "no upstream of the service takes new flows"
         refusal = caller_messages.OpenRefused(message.flow, message.attempt, reason, retry_at)
-        home.reply(forward.caller, forward.via, refusal)
+        home.send_to_caller(forward.caller, forward.via, refusal)
 
 
 def take(
-    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.Open, now: int
+    home: sidecar_state.SidecarState,
+    forward: messages.Forward,
+    message: caller_messages.Open,
+    now: int,
 ) -> flows.Flow:
     """Make this sidecar the flow's home."""
     incarnation = new_incarnation(home)
@@ -64,9 +70,9 @@
     return flow
 
 
-def tell_opened(home: sidecar_state.State, flow: flows.Flow, attempt: int) -> None:
+def tell_opened(home: sidecar_state.SidecarState, flow: flows.Flow, attempt: int) -> None:
     """Tell the caller its token. The answer is no larger than the open that asked."""
     opened = caller_messages.Opened(
-        flow.id, flow.token, attempt, flow.lease_until, flow.answers_for
+        flow.id, flow.token, attempt, flow.lease_until, flow.honoured_incarnations
     )
-    home.tell(flow, opened)
+    home.send_to_flow(flow, opened)
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -11,24 +11,26 @@
 """Shortest retry delay given to a refused caller, in ms."""
 
 
-def fate(home: sidecar_state.State, flow: flows.Flow, deadline: int) -> ledger.State | None:
+def fate(
+    home: sidecar_state.SidecarState, flow: flows.Flow, deadline: int
+) -> ledger.RequestState | None:
     """Return the final state of a request without a record, or None if it may be accepted."""
     forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)
     if deadline <= forgotten:
-        return ledger.State.UNKNOWN
+        return ledger.RequestState.UNKNOWN
     if deadline <= flow.barred_before:
-        return ledger.State.NOT_RUN
+        return ledger.RequestState.NOT_RUN
     return None
 
 
-def retry_time(home: sidecar_state.State, now: int) -> int:
+def retry_time(home: sidecar_state.SidecarState, now: int) -> int:
     """Return when a refused caller may retry (ms), with jitter against synchronized retries."""
     wait = max(RETRY_LEAST, home.slots.wait(len(home.slots.queue), now))
     return now + int(wait * (1 + home.randomness.random()))
 
 
 def refuse(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     flow: flows.Flow,
     request: bytes,
     deadline: int,
@@ -45,7 +47,7 @@
     if retry_at is None:
         retry_at = retry_time(home, now)
     entry = home.ledger.get(flow.id, request)
-    if entry is None and home.ledger.full:
+    if entry is None and home.ledger.is_full:
         flow.barred_before = max(flow.barred_before, deadline)
     elif entry is None:
         keep_until = max(deadline, now) + home.limits.ledger_margin
@@ -53,29 +55,29 @@
         home.ledger.add(entry)
     if entry is not None:
         forget_parts(home, entry)
-        entry.state = ledger.State.NOT_RUN
+        entry.state = ledger.RequestState.NOT_RUN
         entry.reason = reason
         entry.retry_at = retry_at
     home.trace("not_run", flow.id, request, reason=reason)
-    home.tell(flow, messages.NotRun(flow.id, request, reason, retry_at))
+    home.send_to_flow(flow, messages.NotRun(flow.id, request, reason, retry_at))
 
 
-def forget_parts(home: sidecar_state.State, entry: ledger.Entry) -> None:
+def forget_parts(home: sidecar_state.SidecarState, entry: ledger.Entry) -> None:
     """Free the memory of a request's received parts."""
     home.upload_bytes -= sum(len(part) for part in entry.parts.values())
     entry.parts = {}
 
 
 def tell_unknown(
-    home: sidecar_state.State, flow: flows.Flow, request: bytes, reason: str, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, request: bytes, reason: str, now: int
 ) -> None:
     """Send `OutcomeUnknown`: the request may or may not have run."""
     retry_at = retry_time(home, now)
-    home.tell(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
+    home.send_to_flow(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
 
 
 def on_request(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> None:
     """Process one part of a request."""
     home.balance.fresh.request(flow.id)
@@ -84,25 +86,25 @@
         entry = begin(home, flow, message, now)
         if entry is None:
             return
-    if entry.state is ledger.State.RECEIVING:
+    if entry.state is ledger.RequestState.RECEIVING:
         receive(home, flow, entry, message, now)
     elif entry.state in ledger.PENDING:
         if message.report:
-            home.tell(flow, messages.Running(flow.id, entry.request))
+            home.send_to_flow(flow, messages.Running(flow.id, entry.request))
     elif message.report:
         tell_outcome(home, flow, entry, now)
 
 
 def begin(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> ledger.Entry | None:
     """Record a request that is new here, or refuse it and return None."""
     verdict = fate(home, flow, message.deadline)
-    if verdict is ledger.State.UNKNOWN:
+    if verdict is ledger.RequestState.UNKNOWN:
         tell_unknown(home, flow, message.request, "its record may have been dropped", now)
         return None
     reason = reason_against(home, flow, message, now)
-    if verdict is ledger.State.NOT_RUN:
+    if verdict is ledger.RequestState.NOT_RUN:
         reason = "refused while the ledger was full"
     if message.deadline > now + home.limits.max_deadline:
         # `NotRun` needs a tombstone kept until the deadline, which has no bound here. So the
@@ -120,7 +122,7 @@
         message.deadline,
         message.idempotent,
         message.parts,
-        ledger.State.RECEIVING,
+        ledger.RequestState.RECEIVING,
         message.deadline + home.limits.ledger_margin,
     )
     home.ledger.add(entry)
@@ -128,7 +130,7 @@
 
 
 def reason_against(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Request, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> str:
     """Return why a new request cannot be accepted now, or an empty string."""
     if message.deadline <= now:
@@ -139,7 +141,7 @@
         return "the upstream no longer serves the service"
     if not home.caught_up:
         return "the sidecar is catching up"
-    if home.ledger.full:
+    if home.ledger.is_full:
         return "the ledger is full"
     if not 0 < message.parts <= messages.MAX_PARTS:
         return "the number of parts is out of bounds"
@@ -151,7 +153,7 @@
 
 
 def receive(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     flow: flows.Flow,
     entry: ledger.Entry,
     message: messages.Request,
@@ -168,7 +170,9 @@
         admit(home, flow, entry, now)
     elif message.report:
         missing = missing_parts(entry)
-        home.tell(flow, messages.Progress(flow.id, entry.request, len(entry.parts), missing))
+        home.send_to_flow(
+            flow, messages.Progress(flow.id, entry.request, len(entry.parts), missing)
+        )
 
 
 def missing_parts(entry: ledger.Entry) -> tuple[int, ...]:
@@ -182,9 +186,11 @@
     return tuple(missing)
 
 
-def admit(home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, now: int) -> None:
+def admit(
+    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
+) -> None:
     """Start a complete request, queue it, or refuse it."""
-    if not home.serving(flow.service):
+    if not home.can_start(flow.service):
         reason = home.leaving or "the upstream does not serve the service now"
         refuse(home, flow, entry.request, entry.deadline, reason, now)
         return
@@ -192,15 +198,15 @@
     if isinstance(verdict, limits.Refuse):
         refuse(home, flow, entry.request, entry.deadline, verdict.reason, now, verdict.retry_at)
         return
-    entry.state = ledger.State.QUEUED
+    entry.state = ledger.RequestState.QUEUED
     home.trace("entered", flow.id, entry.request, path=entry.path)
     if isinstance(verdict, limits.Run):
         start(home, entry, now)
-    if entry.state is ledger.State.QUEUED or entry.total > 1:
-        home.tell(flow, messages.Running(flow.id, entry.request))
+    if entry.state is ledger.RequestState.QUEUED or entry.total > 1:
+        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
 
 
-def start_waiting(home: sidecar_state.State, now: int) -> None:
+def start_waiting(home: sidecar_state.SidecarState, now: int) -> None:
     """Start queued requests while slots are free; refuse those past their deadline."""
     promoted = home.slots.promote(now, home.randomness)
     give_up_refused(home, promoted.refused, now)
@@ -208,16 +214,18 @@
         start(home, home.ledger.entries[key], now)
 
 
-def give_up_refused(home: sidecar_state.State, refused: list[limits.Refused], now: int) -> None:
+def give_up_refused(
+    home: sidecar_state.SidecarState, refused: list[limits.Refused], now: int
+) -> None:
     """Refuse requests that were removed from the queue."""
     for each in refused:
         entry = home.ledger.entries[each.key]
         give_up(home, entry, each.answer.reason, now, each.answer.retry_at)
 
 
-def start(home: sidecar_state.State, entry: ledger.Entry, now: int) -> None:
+def start(home: sidecar_state.SidecarState, entry: ledger.Entry, now: int) -> None:
     """Send a request that is already in the ledger to the upstream."""
-    entry.state = ledger.State.RUNNING
+    entry.state = ledger.RequestState.RUNNING
     entry.started_at = now
     body = b"".join(entry.parts[number] for number in range(entry.total))
     forget_parts(home, entry)
@@ -230,7 +238,7 @@
 
 
 def give_up(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     entry: ledger.Entry,
     reason: str,
     now: int,
@@ -242,30 +250,30 @@
         refuse(home, flow, entry.request, entry.deadline, reason, now, retry_at)
         return
     forget_parts(home, entry)
-    entry.state = ledger.State.NOT_RUN
+    entry.state = ledger.RequestState.NOT_RUN
     entry.reason = reason
     entry.retry_at = retry_time(home, now) if retry_at is None else retry_at
 
 
 def give_up_queued(
-    home: sidecar_state.State, services: set[str] | None, reason: str, now: int
+    home: sidecar_state.SidecarState, services: set[str] | None, reason: str, now: int
 ) -> None:
     """Refuse the queued requests of the services, or of all services if None."""
     refused = home.slots.refuse_queued(reason, now, home.randomness, services)
     give_up_refused(home, refused, now)
 
 
-def finish(home: sidecar_state.State, event: events.Finished, now: int) -> None:
+def finish(home: sidecar_state.SidecarState, event: events.Finished, now: int) -> None:
     """Record an answer, send its first window of parts, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
-    if entry is None or entry.state is not ledger.State.RUNNING:
+    if entry is None or entry.state is not ledger.RequestState.RUNNING:
         return
     home.slots.finish(entry.key, limits.Outcome.DONE, now)
     siblings.note_result(home, True, now)
     if len(event.body) > home.limits.answer_bytes:
         settle_failed(home, entry, "the answer is too large", True, 0, now)
     else:
-        entry.state = ledger.State.ANSWERED
+        entry.state = ledger.RequestState.ANSWERED
         answer = home.randomness.randbytes(ANSWER_ID_BYTES)
         home.ledger.hold_answer(entry, answer, event.body)
         entry.status = event.status
@@ -277,10 +285,10 @@
     start_waiting(home, now)
 
 
-def fail(home: sidecar_state.State, event: events.Failed, now: int) -> None:
+def fail(home: sidecar_state.SidecarState, event: events.Failed, now: int) -> None:
     """Record that the upstream gave no answer, and start queued requests."""
     entry = home.ledger.entries.get(event.key)
-    if entry is None or entry.state is not ledger.State.RUNNING:
+    if entry is None or entry.state is not ledger.RequestState.RUNNING:
         return
     shed = not event.may_have_run and event.retry_at > 0
     home.slots.finish(entry.key, limits.Outcome.SHED if shed else limits.Outcome.FAILED, now)
@@ -292,7 +300,7 @@
 
 
 def settle_failed(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     entry: ledger.Entry,
     reason: str,
     may_have_run: bool,
@@ -302,11 +310,11 @@
     """Record the outcome of a request that got no answer, and report it to the caller."""
     entry.keep_until = max(entry.keep_until, now + home.limits.ledger_margin)
     if not may_have_run:
-        entry.state = ledger.State.NOT_RUN
+        entry.state = ledger.RequestState.NOT_RUN
         entry.reason = reason
         entry.retry_at = max(retry_at, retry_time(home, now))
     else:
-        entry.state = ledger.State.UNKNOWN
+        entry.state = ledger.RequestState.UNKNOWN
         entry.reason = reason
     home.trace("failed", entry.flow, entry.request, reason=reason, may_have_run=may_have_run)
     flow = home.flows.get(entry.flow)
@@ -315,30 +323,34 @@
 
 
 def tell_outcome(
-    home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
 ) -> None:
     """Send the caller the recorded state or outcome of a request."""
-    if entry.delivered:
+    if entry.is_delivered:
         # A late copy: the caller has acknowledged the whole answer, which is no longer stored.
         home.trace("dropped", flow.id, entry.request, reason="its answer was delivered")
-    elif entry.state is ledger.State.ANSWERED:
+    elif entry.state is ledger.RequestState.ANSWERED:
         send_parts(home, flow, entry, range(messages.WINDOW))
-    elif entry.state is ledger.State.NOT_RUN:
-        home.tell(flow, messages.NotRun(flow.id, entry.request, entry.reason, entry.retry_at))
-    elif entry.state is ledger.State.UNKNOWN:
+    elif entry.state is ledger.RequestState.NOT_RUN:
+        home.send_to_flow(
+            flow, messages.NotRun(flow.id, entry.request, entry.reason, entry.retry_at)
+        )
+    elif entry.state is ledger.RequestState.UNKNOWN:
         tell_unknown(home, flow, entry.request, entry.reason, now)
     else:
-        home.tell(flow, messages.Running(flow.id, entry.request))
+        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
 
 
-def send_parts(home: sidecar_state.State, flow: flows.Flow, entry: ledger.Entry, numbers) -> None:
+def send_parts(
+    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, numbers
+) -> None:
     """Send the numbered parts of an answer; numbers out of range are skipped."""
     total = part_count(entry)
     for number in numbers:
         if not 0 <= number < total:
             continue
         start_byte = number * messages.PART_BYTES
-        home.tell(
+        home.send_to_flow(
             flow,
             messages.AnswerPart(
                 flow.id,
@@ -353,7 +365,7 @@
 
 
 def on_fetch(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Fetch, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Fetch, now: int
 ) -> None:
     """Send the requested parts of an answer, or the recorded outcome if it is another one."""
     entry = home.ledger.get(flow.id, message.request)
@@ -366,11 +378,11 @@
 
 
 def on_acknowledge(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Acknowledge
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Acknowledge
 ) -> None:
     """Free the body of an answer that the caller has received; the record stays."""
     entry = home.ledger.get(flow.id, message.request)
-    if entry is None or entry.state is not ledger.State.ANSWERED:
+    if entry is None or entry.state is not ledger.RequestState.ANSWERED:
         return
     if message.position == part_count(entry):
         home.ledger.hold_answer(entry, b"", b"")
@@ -382,17 +394,17 @@
 
 
 def on_cancel(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Cancel, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Cancel, now: int
 ) -> None:
     """Cancel a request: refuse it if it has not started, else ask the upstream to stop it."""
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
-        home.tell(flow, messages.UnknownFlow(flow.id, message.request, "nothing to cancel"))
-    elif entry.state is ledger.State.RUNNING:
+        home.send_to_flow(flow, messages.UnknownFlow(flow.id, message.request, "nothing to cancel"))
+    elif entry.state is ledger.RequestState.RUNNING:
         if not entry.cancelled:
             entry.cancelled = True
             home.emit(effects.CancelRequest(entry.key))
-        home.tell(flow, messages.Running(flow.id, entry.request))
+        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
     elif entry.state in ledger.FINAL:
         tell_outcome(home, flow, entry, now)
     else:
@@ -401,22 +413,22 @@
 
 
 def on_settle(
-    home: sidecar_state.State, flow: flows.Flow, message: messages.Settle, now: int
+    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Settle, now: int
 ) -> None:
     """Report the outcome of a request; one that is not complete is refused for good."""
     entry = home.ledger.get(flow.id, message.request)
-    if entry is None and fate(home, flow, message.deadline) is ledger.State.UNKNOWN:
+    if entry is None and fate(home, flow, message.deadline) is ledger.RequestState.UNKNOWN:
         tell_unknown(home, flow, message.request, "its record may have been dropped", now)
     elif entry is None and message.deadline > now + home.limits.max_deadline:
         tell_unknown(home, flow, message.request, "the deadline is too far away", now)
-    elif entry is None or entry.state is ledger.State.RECEIVING:
+    elif entry is None or entry.state is ledger.RequestState.RECEIVING:
         deadline = message.deadline if entry is None else entry.deadline
         refuse(home, flow, message.request, deadline, "settled before it ran", now)
     else:
         tell_outcome(home, flow, entry, now)
 
 
-def expire(home: sidecar_state.State, now: int) -> None:
+def expire(home: sidecar_state.SidecarState, now: int) -> None:
     """Refuse queued and cancel running requests past their deadline; drop expired records."""
     give_up_refused(home, home.slots.expire(now, home.randomness), now)
     for key in home.slots.running:
@@ -429,7 +441,7 @@
 
 
 @functools.singledispatch
-def on_message(message, home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def on_message(message, home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Process a caller's message about a request of a flow whose home is here."""
     raise TypeError(f"no handler for message {type(message).__name__}")
 
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -9,7 +9,7 @@
 from ebonystile.peer import messages
 
 
-def own_load(home: sidecar_state.State, now: int) -> messages.LoadReport:
+def own_load(home: sidecar_state.SidecarState, now: int) -> messages.LoadReport:
     """Return the load of the upstream beside this sidecar."""
     own = home.view.endpoints.get(home.key)
     zone = own.zone if own else ""
@@ -21,7 +21,7 @@
     )
 
 
-def report(home: sidecar_state.State, now: int) -> None:
+def report(home: sidecar_state.SidecarState, now: int) -> None:
     """Tell the siblings the load if it is time to."""
     balance = home.balance
     if not balance.receivers or not balance.reporter.ready(now, bool(home.leaving)):
@@ -31,7 +31,7 @@
         home.emit(effects.SendLoad(balance.receivers, own))
 
 
-def on_view(home: sidecar_state.State) -> None:
+def on_view(home: sidecar_state.SidecarState) -> None:
     """Work out whom to report to, and forget who is no sibling any more.
 
     Leaving siblings are told too: they pass every open on and need to know where to.
@@ -48,12 +48,12 @@
     balance.table.keep(names)
 
 
-def on_heard(home: sidecar_state.State, event: events.LoadHeard, now: int) -> None:
+def on_heard(home: sidecar_state.SidecarState, event: events.LoadHeard, now: int) -> None:
     """Take a sibling's report."""
     home.balance.table.report(event.report, now)
 
 
-def on_health(home: sidecar_state.State, event: events.UpstreamHealth, now: int) -> None:
+def on_health(home: sidecar_state.SidecarState, event: events.UpstreamHealth, now: int) -> None:
     """Take what the upstream says of its health, or its silence.
 
     A good word only counts as the answer to a probe of a suspected upstream; otherwise what its
@@ -70,7 +70,7 @@
         home.trace("trusted")
 
 
-def note_result(home: sidecar_state.State, good: bool, now: int) -> None:
+def note_result(home: sidecar_state.SidecarState, good: bool, now: int) -> None:
     """Note how a request or a check of the upstream went."""
     if good:
         home.balance.suspicion.succeeded(home.name, now)
@@ -78,7 +78,7 @@
         home.trace("suspected")
 
 
-def suspects(home: sidecar_state.State, now: int) -> tuple[str, ...]:
+def suspects(home: sidecar_state.SidecarState, now: int) -> tuple[str, ...]:
     """Return who is suspected: the own upstream, and siblings that have fallen silent."""
     silent = [
         name
@@ -90,7 +90,10 @@
 
 
 def pick(
-    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.Open, now: int
+    home: sidecar_state.SidecarState,
+    forward: messages.Forward,
+    message: caller_messages.Open,
+    now: int,
 ) -> view.Endpoint | None:
     """Return the sibling that should take an open, or None to keep it or to walk the ranking.
 
@@ -117,7 +120,7 @@
 
 
 def lightest(
-    home: sidecar_state.State, choices: list[view.Endpoint], now: int
+    home: sidecar_state.SidecarState, choices: list[view.Endpoint], now: int
 ) -> view.Endpoint | None:
     """Return the choice that holds the fewest flows for its weight, and count one more there.
 
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -35,12 +35,12 @@
     randomness: rng.Rng,
     now: int,
     policy: balance.Policy = balance.DEFAULT,
-) -> sidecar_state.State:
+) -> sidecar_state.SidecarState:
     """Return the initial state of a sidecar."""
-    return sidecar_state.State(name, incarnation, limits, randomness, now, policy)
+    return sidecar_state.SidecarState(name, incarnation, limits, randomness, now, policy)
 
 
-def decide(home: sidecar_state.State, event, now: int) -> list[effects.Effect]:
+def decide(home: sidecar_state.SidecarState, event, now: int) -> list[effects.Effect]:
     """Process one event at time `now` (ms) and return the effects, in order."""
     notice_pause(home, now)
     on_event(event, home, now)
@@ -48,7 +48,7 @@
     return home.take_effects()
 
 
-def notice_pause(home: sidecar_state.State, now: int) -> None:
+def notice_pause(home: sidecar_state.SidecarState, now: int) -> None:
     """Refuse new work after a pause of the process until a view has been confirmed.
 
     After a pause the view may be stale: the upstream may serve another service by now, and a
@@ -62,7 +62,7 @@
 
 
 @functools.singledispatch
-def on_event(event, home: sidecar_state.State, now: int) -> None:
+def on_event(event, home: sidecar_state.SidecarState, now: int) -> None:
     """Process one event."""
     raise TypeError(f"no handler for event {type(event).__name__}")
 
@@ -170,7 +170,7 @@
     feeds.poll(home, now)
 
 
-def leave(home: sidecar_state.State, reason: str, now: int) -> None:
+def leave(home: sidecar_state.SidecarState, reason: str, now: int) -> None:
     """Refuse new and queued requests from now on; running requests go on."""
     if home.leaving:
         return
@@ -180,7 +180,7 @@
     requests.give_up_queued(home, None, home.leaving, now)
 
 
-def follow_leaving(home: sidecar_state.State, leaving: bool, now: int) -> None:
+def follow_leaving(home: sidecar_state.SidecarState, leaving: bool, now: int) -> None:
     """Leave or stay as the view says, unless the process itself has decided to leave."""
     if leaving and not home.leaving:
         leave(home, "the configuration or the list says so", now)
@@ -191,7 +191,7 @@
         home.trace("staying")
 
 
-def drained(home: sidecar_state.State) -> bool:
+def drained(home: sidecar_state.SidecarState) -> bool:
     """Return whether a leaving sidecar has no request to finish and no flow to hand over."""
     if not home.leaving or home.slots.running:
         return False
@@ -199,7 +199,7 @@
 
 
 def route(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     forward: messages.Forward,
     message: caller_messages.FromCaller,
     now: int,
@@ -216,7 +216,7 @@
     elif flow.moved_to is not None:
         if flow.moved_to.key not in forward.visited:
             home.forward_to(flow.moved_to, forward)
-    elif flow.fenced:
+    elif flow.is_fenced:
         on_fenced(home, flow, forward, message, now)
     else:
         flow.caller = forward.caller
@@ -228,7 +228,7 @@
 
 
 def on_fenced(
-    home: sidecar_state.State,
+    home: sidecar_state.SidecarState,
     flow: flows.Flow,
     forward: messages.Forward,
     message: caller_messages.FromCaller,
@@ -254,12 +254,12 @@
         and token is not None
         and flow.service == service
         and token.service == view.key_of(service)
-        and token.incarnation in flow.answers_for
+        and token.incarnation in flow.honoured_incarnations
     )
 
 
 def pass_on(
-    home: sidecar_state.State, forward: messages.Forward, message: caller_messages.FromCaller
+    home: sidecar_state.SidecarState, forward: messages.Forward, message: caller_messages.FromCaller
 ) -> None:
     """Forward a message to the next sidecar, or send `UnknownFlow` if all have been tried."""
     if home.pass_on(forward, message.flow, message.service):
@@ -267,11 +267,11 @@
     request = getattr(message, "request", b"")
     home.trace("unknown_flow", message.flow, request)
     unknown = caller_messages.UnknownFlow(message.flow, request, "no upstream holds the flow")
-    home.reply(forward.caller, forward.via, unknown)
+    home.send_to_caller(forward.caller, forward.via, unknown)
 
 
 @functools.singledispatch
-def on_message(message, home: sidecar_state.State, flow: flows.Flow, now: int) -> None:
+def on_message(message, home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Process a message of a flow whose home is here; most concern a request."""
     requests.on_message(message, home, flow, now)
 
@@ -306,10 +306,10 @@
             requests.give_up(home, entry, "the flow was closed", now)
     del home.flows[flow.id]
     home.trace("closed", flow.id)
-    home.tell(flow, caller_messages.Closed(flow.id))
+    home.send_to_flow(flow, caller_messages.Closed(flow.id))
 
 
-def expire_flows(home: sidecar_state.State, now: int) -> None:
+def expire_flows(home: sidecar_state.SidecarState, now: int) -> None:
     """Remove the flows with an expired lease and no pending request."""
     if now - home.leases_checked_at < LEASE_CHECK_MS:
         return
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -45,10 +45,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Source:
+class FeedSource:
     """One feed of the upstream, polled once for all its subscribers.
 
-    `events` maps positions to bodies and holds at most `SOURCE_EVENTS`.
+    `events` maps positions to bodies and holds at most `MAX_SOURCE_EVENTS`.
     """
 
     path: str
@@ -59,11 +59,11 @@
     poll_at: int = 0
 
 
-SOURCE_EVENTS = 1024
+MAX_SOURCE_EVENTS = 1024
 """Most events of a feed kept for slow subscribers; others are polled again."""
 
 
-class State:
+class SidecarState:
     """The state of one sidecar, created with a new incarnation at every start."""
 
     def __init__(
@@ -86,7 +86,7 @@
         self.ledger = ledger.Ledger(limits.ledger, limits.ledger_margin)
         self.slots = balance.make_limiter(policy, limits.slots, limits.queue)
         self.balance = balance.Balance(policy, now)
-        self.sources: dict[str, Source] = {}
+        self.sources: dict[str, FeedSource] = {}
         self.upload_bytes = 0
         self.leaving = ""
         self.leaving_by_view = False
@@ -115,7 +115,7 @@
         """Append a `Trace` effect."""
         self.emit(effects.Trace(event, flow, request, tuple(fields.items())))
 
-    def reply(
+    def send_to_caller(
         self, caller: view.Address, via: view.Address, message: caller_messages.ToCaller
     ) -> None:
         """Send a message to a caller through the balancer `via`, or another if that one is gone.
@@ -135,9 +135,9 @@
         self.next_balancer += 1
         return choices[self.next_balancer % len(choices)]
 
-    def tell(self, flow: flows.Flow, message: caller_messages.ToCaller) -> None:
+    def send_to_flow(self, flow: flows.Flow, message: caller_messages.ToCaller) -> None:
         """Send a message to a flow's caller, at its last known address and balancer."""
-        self.reply(flow.caller, flow.via, message)
+        self.send_to_caller(flow.caller, flow.via, message)
 
     def siblings(self, service: str) -> list[view.Endpoint]:
         """Return the other upstreams of the service that accept new work."""
@@ -146,7 +146,7 @@
             return []
         return [u for u in known.accepting if u.key != self.key]
 
-    def serving(self, service: str) -> bool:
+    def can_start(self, service: str) -> bool:
         """Return whether new work for the service may start here now."""
         return not self.leaving and self.caught_up and service in self.serves
 
--- a/src/ebonystile/daemon/answers.py
+++ b/src/ebonystile/daemon/answers.py
@@ -42,7 +42,7 @@
 class Subject:
     """A process as its owner thread shows it to an operator at one moment."""
 
-    core: balancer.Balancer | sidecar_state.State
+    core: balancer.Balancer | sidecar_state.SidecarState
     identity: Identity
     surroundings: Surroundings
     ring: timeline.Ring
@@ -140,20 +140,20 @@
 
 
 @functools.singledispatch
-def work_of(core: balancer.Balancer | sidecar_state.State) -> Work:
+def work_of(core: balancer.Balancer | sidecar_state.SidecarState) -> Work:
     """Return how much the core holds; a balancer holds nothing."""
     return Work()
 
 
 @work_of.register
-def _(core: sidecar_state.State) -> Work:
-    held = sum(not flow.fenced for flow in core.flows.values())
+def _(core: sidecar_state.SidecarState) -> Work:
+    held = sum(not flow.is_fenced for flow in core.flows.values())
     slots = core.slots
     return Work(held, len(slots.running), len(slots.queue), core.leaving, tuple(core.serves))
 
 
 def route_of(
-    core: balancer.Balancer | sidecar_state.State, question: messages.ExplainRequest
+    core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[str, str]:
     """Return the upstream that the question's token leads to by this view, and the reason."""
     token = view.unpack_token(question.token)
@@ -169,14 +169,14 @@
 
 @functools.singledispatch
 def holding_of(
-    core: balancer.Balancer | sidecar_state.State, question: messages.ExplainRequest
+    core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[int, str]:
     """Return whether the process holds the flow, and where it went; a balancer holds none."""
     return messages.ABSENT, ""
 
 
 @holding_of.register
-def _(core: sidecar_state.State, question: messages.ExplainRequest) -> tuple[int, str]:
+def _(core: sidecar_state.SidecarState, question: messages.ExplainRequest) -> tuple[int, str]:
     flow = core.flows.get(question.flow)
     if flow is None or flow.service != question.service:
         return messages.ABSENT, ""
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -42,7 +42,7 @@
     def __init__(
         self,
         identity: answers.Identity,
-        core: balancer.Balancer | sidecar_state.State,
+        core: balancer.Balancer | sidecar_state.SidecarState,
         owner: loop.Loop,
         counts: collections.Counter[str],
         event_limit: int,
@@ -140,13 +140,13 @@
 
 
 @functools.singledispatch
-def add_gauges(core: balancer.Balancer | sidecar_state.State, held: metrics.Metrics) -> None:
+def add_gauges(core: balancer.Balancer | sidecar_state.SidecarState, held: metrics.Metrics) -> None:
     """Expose the sizes of a core; each read is one step, so another thread may do it."""
     held.gauge("revision", "Revision of the documents in force.", lambda: core.view.revision)
 
 
 @add_gauges.register
-def _(core: sidecar_state.State, held: metrics.Metrics) -> None:
+def _(core: sidecar_state.SidecarState, held: metrics.Metrics) -> None:
     add_gauges.dispatch(object)(core, held)
     held.gauge("flows", "Flows known, those handed over included.", lambda: len(core.flows))
     held.gauge("running", "Requests that run.", lambda: len(core.slots.running))
@@ -172,7 +172,7 @@
 
 def make_reporter(
     identity: answers.Identity,
-    core: balancer.Balancer | sidecar_state.State,
+    core: balancer.Balancer | sidecar_state.SidecarState,
     owner: loop.Loop,
     counts: collections.Counter[str],
     event_limit: int,
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -8,7 +8,7 @@
 LATE_MS = call.SETTLE_GRACE + call.RESEND_LIMIT
 """A final word is later than promised if it comes this long after its deadline."""
 
-ANSWERS_FOR_LIMIT = 64
+MAX_HONOURED_INCARNATIONS = 64
 
 
 class Checks:
@@ -66,7 +66,7 @@
         self.told_at = 0
 
 
-def check_tables(checks: Checks, name: str, core: sidecar_state.State) -> None:
+def check_tables(checks: Checks, name: str, core: sidecar_state.SidecarState) -> None:
     """Check that no table grows beyond its bound and that the counts agree with the tables."""
     entries = core.ledger.entries.values()
     receiving = sum(len(p) for e in entries for p in e.parts.values())
@@ -76,9 +76,9 @@
         checks.fault(f"{name}: a table is beyond its bound")
     if len(core.sources) > 8:
         checks.fault(f"{name}: too many feeds are polled")
-    if any(len(f.answers_for) > ANSWERS_FOR_LIMIT for f in core.flows.values()):
+    if any(len(f.honoured_incarnations) > MAX_HONOURED_INCARNATIONS for f in core.flows.values()):
         checks.fault(f"{name}: a flow answers for ever more incarnations")
-    running = {e.key for e in entries if e.state is ledger.State.RUNNING}
+    running = {e.key for e in entries if e.state is ledger.RequestState.RUNNING}
     if running != set(core.slots.running):
         checks.fault(f"{name}: slots and ledger disagree")
 
@@ -88,9 +88,9 @@
     held = collections.defaultdict(set)
     for home in checks.wire.homes.values():
         for flow in home.core.flows.values() if home.core else ():
-            if flow.fenced:
+            if flow.is_fenced:
                 continue
-            for incarnation in flow.answers_for:
+            for incarnation in flow.honoured_incarnations:
                 held[(flow.id, incarnation)].add(home.name)
     for names in held.values():
         if len(names) > 1:
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -163,7 +163,7 @@
         flow = self.callers[0].flow if self.callers else b""
         homes = list(self.wire.homes.values()) or self.started
         held = [h for h in homes if h.core and flow in h.core.flows]
-        serving = [h for h in held if not h.core.flows[flow].fenced]
+        serving = [h for h in held if not h.core.flows[flow].is_fenced]
         return (serving or held or homes)[0]
 
     # The day
@@ -220,7 +220,7 @@
 
     def check_living(self, probes: tuple[bytes, ...], moved: int) -> None:
         """Once every fault is over, requests are answered and feeds go on."""
-        if not any(h.core and h.core.serving(wires.SERVICE) for h in self.wire.homes.values()):
+        if not any(h.core and h.core.can_start(wires.SERVICE) for h in self.wire.homes.values()):
             return
         for result in (self.checks.asked[probe].result for probe in probes):
             if result is None or result.outcome is not progress.Outcome.ANSWERED:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -87,7 +87,7 @@
         "tombstone when a request is settled",
         CORE + "calls/requests.py",
         'refuse(home, flow, message.request, deadline, "settled before it ran", now)',
-        'home.tell(flow, messages.NotRun(flow.id, message.request, "settled", now))',
+        'home.send_to_flow(flow, messages.NotRun(flow.id, message.request, "settled", now))',
     ),
     Mutation(
         "ledger lookup for a repeat",
@@ -126,7 +126,7 @@
     Mutation(
         "refusal when the ledger is full",
         CORE + "calls/requests.py",
-        "    if home.ledger.full:\n        return",
+        "    if home.ledger.is_full:\n        return",
         "    if False:\n        return",
     ),
     Mutation(
@@ -198,7 +198,7 @@
     Mutation(
         "incarnation check at the home",
         CORE + "calls/sidecar.py",
-        "        and token.incarnation in flow.answers_for\n",
+        "        and token.incarnation in flow.honoured_incarnations\n",
         "",
     ),
     Mutation(
@@ -210,7 +210,7 @@
     Mutation(
         "fenced flow runs nothing",
         CORE + "calls/sidecar.py",
-        "    elif flow.fenced:\n        on_fenced",
+        "    elif flow.is_fenced:\n        on_fenced",
         "    elif False:\n        on_fenced",
     ),
     Mutation(
@@ -270,8 +270,8 @@
     Mutation(
         "caller told that its flow waits",
         CORE + "calls/handover.py",
-        "        flow.lease_told_at = now\n        tell_home(home, flow)\n",
-        "        flow.lease_told_at = now\n",
+        "        flow.lease_sent_at = now\n        tell_home(home, flow)\n",
+        "        flow.lease_sent_at = now\n",
     ),
     Mutation(
         "flow served between two rounds of refusals",
@@ -288,7 +288,7 @@
     Mutation(
         "fenced home not joined",
         CORE + "calls/handover.py",
-        "    if known is not None and known.fenced:\n        known = None\n",
+        "    if known is not None and known.is_fenced:\n        known = None\n",
         "",
     ),
     Mutation(
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -29,7 +29,7 @@
     def home(self):
         """Return the home of the caller's flow."""
         held = [h for h in self.wire.homes.values() if h.core and self.caller.flow in h.core.flows]
-        return next(h for h in held if not h.core.flows[self.caller.flow].fenced)
+        return next(h for h in held if not h.core.flows[self.caller.flow].is_fenced)
 
     def ask(self, path="report", idempotent=False, caller=None):
         caller = caller or self.caller
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -196,10 +196,10 @@
     decided = sidecar.decide(core, wires.events.TransferArrived(1, message), wires.START)
     reply = next(e.reply for e in decided if isinstance(e, wires.effects.AnswerTransfer))
     assert reply.accepted == accepted
-    known = set(core.flows[FLOW].answers_for)
+    known = set(core.flows[FLOW].honoured_incarnations)
     assert kept <= known
     assert {5, 7} & known == kept
-    assert core.flows[FLOW].fenced == (state == "undecided" and not accepted)
+    assert core.flows[FLOW].is_fenced == (state == "undecided" and not accepted)
 
 
 def test_flow_with_a_large_answer_moves_once_the_answer_has_arrived():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -97,7 +97,7 @@
     wire.judge = lambda s, target, kind: [] if cut[0] and target == slow else [1]
     behind.subscribe("spans", 0, wire.now)
     wire.run(10_000)
-    assert len(ahead.events) > sidecar_state.SOURCE_EVENTS
+    assert len(ahead.events) > sidecar_state.MAX_SOURCE_EVENTS
     cut[0] = False
     wire.run(20_000)
     newest = (wire.now - wires.FEED_START) // wires.FEED_EVERY_MS
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -134,7 +134,7 @@
     assert len(one.core.ledger.entries) == 3
     for now in range(NOW + 50, NOW + 3_000, 50):
         one.tick(now)
-    assert not one.core.ledger.full
+    assert not one.core.ledger.is_full
     assert kinds(one.ask(token, b"r", NOW + 5_000, NOW + 3_000)) == ["NotRun"]
     assert one.runs == []
     assert kinds(one.ask(token, b"s", NOW + 6_000, NOW + 3_000)) == []
@@ -450,4 +450,13 @@
 
 
 def test_incarnations_that_a_flow_answers_for_are_bounded():
-    assert sidecar_state.flows.joined(tuple(range(20)), (21,)) == (13, 14, 15, 16, 17, 18, 19, 21)
+    assert sidecar_state.flows.merge_incarnations(tuple(range(20)), (21,)) == (
+        13,
+        14,
+        15,
+        16,
+        17,
+        18,
+        19,
+        21,
+    )
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -39,7 +39,7 @@
 
     name: str
     address: view.Address
-    core: sidecar_state.State | None
+    core: sidecar_state.SidecarState | None
     kinds: set[str] = dataclasses.field(default_factory=lambda: {SERVICE})
     offset: int = 0
     paused_until: int = 0
@@ -328,7 +328,7 @@
         for step in steps:
             self.watch(step, home, True)
 
-    def carry_out_all(self, home: Home, core: sidecar_state.State, decided: list) -> None:
+    def carry_out_all(self, home: Home, core: sidecar_state.SidecarState, decided: list) -> None:
         """Do what was decided if the process still runs, at its wake-up if it is paused."""
         if home.core is not core:
             return
@@ -390,7 +390,9 @@
         for delay in delays[:1]:
             self.at(delay - 1, lambda: self.start(home, core, effect))
 
-    def start(self, home: Home, core: sidecar_state.State, effect: effects.RunRequest) -> None:
+    def start(
+        self, home: Home, core: sidecar_state.SidecarState, effect: effects.RunRequest
+    ) -> None:
         """Run a request at the upstream, which refuses one whose deadline has passed."""
         request = effect.key[1]
         if home.upstream_down_until > self.now or self.now + home.offset >= effect.deadline:
@@ -422,14 +424,14 @@
             return bytes(i % 251 for i in range(int(path.split("/")[1])))
         return b"done:" + body[:100]
 
-    def feed(self, home: Home, core: sidecar_state.State, effect: effects.PollFeed) -> None:
+    def feed(self, home: Home, core: sidecar_state.SidecarState, effect: effects.PollFeed) -> None:
         """Give the events of a feed: alike at every upstream."""
         newest = (self.now - FEED_START) // FEED_EVERY_MS
         last = min(newest, effect.after + 64)
         batch = tuple((p, b"event %d" % p) for p in range(effect.after + 1, last + 1))
         self.post_to(home, core, events.FeedBatch(effect.path, effect.after, batch))
 
-    def post_to(self, home: Home, core: sidecar_state.State, event) -> None:
+    def post_to(self, home: Home, core: sidecar_state.SidecarState, event) -> None:
         """Post an event if the same start of the sidecar still runs."""
         if home.core is core:
             self.post(home, event)
