--- a/src/ebonystile/platform/__init__.py
+++ b/src/ebonystile/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Speak with the platform: published documents and the list of instances."""
+"""The adapter to the platform: its store, packet headers, settings, documents and instances."""
--- a/src/ebonystile/platform/client.py
+++ b/src/ebonystile/platform/client.py
@@ -1,7 +1,7 @@
-"""Read and watch docs/PLATFORM.md: the published values and the list of instances.
+"""A client of the platform's API: watches published values and the list of instances.
 
-The platform may be down, stale or answer as it was at an older revision. This client checks the
-shape of each answer and passes revisions on as they came; what to believe is decided elsewhere.
+The platform may be down or answer with an older revision. This client checks the form of each
+answer only; callers compare the revisions.
 """
 
 import dataclasses
@@ -13,10 +13,10 @@
 from ebonystile import clock, errors, settings, webclient
 
 MAX_ANSWER = 2 << 20
-"""Largest answer in bytes: a value is at most 1 MB, and a page of them about as much."""
+"""Largest answer in bytes; a value, or a page of values, is at most about 1 MB."""
 
 WAIT_MARGIN_MS = 2000
-"""Time beyond the end of a watch after which the answer is given up, in milliseconds."""
+"""Time allowed for an answer after the end of a watch, in ms."""
 
 CONNECTIONS = 2
 
@@ -28,13 +28,13 @@
 
 
 class Model(pydantic.BaseModel):
-    """Base of what is checked at this border; keys unknown to us are left alone."""
+    """Base of the answers' models: strict types, unknown keys ignored."""
 
     model_config = pydantic.ConfigDict(strict=True, frozen=True)
 
 
 class Value(Model):
-    """One published value, parsed but not yet understood; None says that the key is deleted."""
+    """One published value as parsed JSON; None means that the key is deleted."""
 
     key: Name
     revision: Revision
@@ -69,9 +69,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Values:
-    """What changed after a revision, oldest first, complete up to `revision`.
+    """The values changed after a revision, oldest first, complete up to `revision`.
 
-    `revision` may be lower than asked for, with no entries: the platform is behind.
+    `revision` may be lower than the requested one, with no entries, if the platform is stale.
     """
 
     revision: int
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instances:
-    """Which instances changed after a revision of the list, oldest first."""
+    """The instances changed after a revision of the list, oldest first."""
 
     revision: int
     entries: tuple[Instance, ...]
@@ -92,7 +92,7 @@
 
 
 class Platform:
-    """The platform; every method blocks and may be called from several threads."""
+    """A blocking client of the platform; thread-safe."""
 
     def __init__(self, url: str, now: webclient.Clock):
         self.url = url
@@ -121,7 +121,7 @@
         return Instances(page.revision, page.instances, page.more)
 
     def page(self, path: str, after: int, wait_until: int, model: type[Page], step: str) -> Page:
-        """Make one call and check its answer."""
+        """Make one call and return its validated answer."""
         wait_ms = max(0, wait_until - self.now())
         query = urllib.parse.urlencode({"after": after, "wait_ms": wait_ms})
         response = self.web.exchange(
@@ -140,7 +140,7 @@
             raise self.error(f"{fault['loc']}: {fault['msg']}", step) from error
 
     def error(self, reason: str, step: str) -> errors.PlatformError:
-        """Return the error for an answer that cannot be used."""
+        """Return the error for an unusable answer."""
         return errors.PlatformError(reason, step=step, peer=self.url)
 
     def close(self) -> None:
--- a/src/ebonystile/platform/documents.py
+++ b/src/ebonystile/platform/documents.py
@@ -1,8 +1,8 @@
-"""Check the documents that the platform publishes: each is accepted whole or refused whole.
+"""Validate the documents that the platform publishes: each is accepted or refused as a whole.
 
-A document is the JSON value of one key. `services/<shard>` names services, their addresses and
-their selectors; `labels/<shard>` gives the labels of instances. Checking is a pure function of
-key and value, so every process of one release comes to the same verdict without talking.
+A document is the JSON value of one key. `services/<shard>` defines services, their addresses and
+their selectors; `labels/<shard>` gives the labels of instances. Validation depends on key and
+value only, so all processes of one release accept the same documents.
 """
 
 import difflib
@@ -14,10 +14,10 @@
 from ebonystile import errors
 
 MAX_BYTES = 1 << 20
-"""Largest value that the platform holds, in bytes of JSON."""
+"""Largest value that the platform stores, in bytes of JSON."""
 
 LEAVING = "leaving"
-"""The label that, with the value "true", takes an instance out of new work."""
+"""The label that, with the value "true", keeps new work from an instance."""
 
 NAME = r"^[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?$"
 LABEL_KEY = r"^[A-Za-z0-9]([A-Za-z0-9._/-]{0,61}[A-Za-z0-9])?$"
@@ -66,7 +66,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_addresses(self) -> typing.Self:
-        """Refuse two services behind one address: packets of one could reach the other."""
+        """Refuse two services with the same address: packets for one could reach the other."""
         owners: dict[str, str] = {}
         for name, spec in self.services.items():
             owner = owners.setdefault(spec.address, name)
@@ -89,7 +89,7 @@
 
 
 def parse(key: str, value: typing.Any) -> Services | InstanceLabels:
-    """Return the checked document; raise `SettingsError` with every fault it has."""
+    """Return the validated document; raise `SettingsError` with all of its faults."""
     kind, _, shard = key.partition("/")
     model = MODELS.get(kind)
     if model is None or not shard:
@@ -103,7 +103,7 @@
 
 
 def check(key: str, value: typing.Any) -> list[str]:
-    """Return every fault of the document, each with its path; none means it is accepted."""
+    """Return all faults of the document, each with its path; an empty list if it is valid."""
     try:
         parse(key, value)
     except errors.SettingsError as error:
@@ -112,7 +112,7 @@
 
 
 def key_fault(key: str, kind: str) -> str:
-    """Return the fault of a key that names no kind of document."""
+    """Return the fault of a key that is not of a known kind."""
     near = difflib.get_close_matches(kind, MODELS, n=1)
     known = near[0] if near else " or ".join(MODELS)
     return f'key "{key}": expected {known}/<shard>'
@@ -122,7 +122,7 @@
     """Return one line for each fault, in the order of the document."""
     lines = []
     for fault in error.errors(include_url=False, include_context=False):
-        # The names that pydantic gives to keys and to the branches of a union help nobody.
+        # Skip pydantic's own names for keys and for the branches of a union.
         skipped = ("[key]", "constrained-str")
         path = ".".join(
             str(step)
@@ -137,7 +137,7 @@
 
 
 def nearest(word: str, model: type[Document]) -> str:
-    """Return a hint at the known key most like `word`, or nothing."""
+    """Return a hint with the known key most similar to `word`, "" if there is none."""
     known = [*model.model_fields, *ServiceSpec.model_fields]
     near = difflib.get_close_matches(word, known, n=1)
     return f' (did you mean "{near[0]}"?)' if near else ""
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -1,7 +1,6 @@
-"""Translate what lies in the store: the configuration, drained zones and upstreams' entries.
+"""Parse the store's items: the configuration, drained zones and upstreams' entries.
 
-Anybody may have written there. What does not have the form described names no upstream, and is
-told apart from an entry that is gone by a reason.
+Other writers share the store, so a malformed item raises `PlatformError` with a reason.
 """
 
 import typing
@@ -22,9 +21,9 @@
 
 
 class Item(msgspec.Struct):
-    """One item, or with `tombstone` the word that it is gone. `value` comes as base64.
+    """One item of the store; `tombstone` marks a deleted key. `value` is base64 in JSON.
 
-    `created` is the store's revision at which the key came to be.
+    `created` is the store's revision at which the key was created.
     """
 
     key: str
@@ -35,9 +34,9 @@
 
 
 class Page(msgspec.Struct):
-    """One page of a list; `store_revision` is the store's at that moment.
+    """One page of a list, read at the store's revision `store_revision`.
 
-    A relay that does not read the store itself just now says so by `current`.
+    `current` is False in the answer of a relay that is not reading the store itself.
     """
 
     items: list[Item]
@@ -47,18 +46,17 @@
 
 
 class News(msgspec.Struct):
-    """What a watch brought; the next one goes on from `store_revision`."""
+    """The answer to a watch; the next watch continues from `store_revision`."""
 
     events: list[Item]
     store_revision: int
 
 
 class EntryBody(msgspec.Struct):
-    """What an upstream says of itself.
+    """The entry that an upstream publishes.
 
-    `address` is where its own instance reaches it. `max_concurrency` is its number of slots,
-    `warmup_left_ms` how much longer it is slow after its start, `born` the time of the start in ms
-    since the epoch.
+    `address` is its address on its own instance, `max_concurrency` its number of slots,
+    `warmup_left_ms` the rest of its slow start, `born` its start time in ms since the epoch.
     """
 
     service: str
@@ -71,15 +69,16 @@
 
 
 class ShareBody(msgspec.Struct):
-    """One of the services that a route's new flows are split over."""
+    """A service and its weight in the split of a route's new flows."""
 
     service: str
     weight: typing.Annotated[int, msgspec.Meta(ge=0)]
 
 
 class RouteBody(msgspec.Struct):
-    """A route: `host` is its address, `prefix` its port between slashes; `backends` splits it.
+    """A route: `host` is its address, `prefix` its port between slashes.
 
+    `backends` splits new flows over services, `service` is the only one if it is empty.
     `allowed_regions` names the regions whose upstreams may serve it, empty for all.
     """
 
@@ -92,7 +91,7 @@
 
 
 class ServiceBody(msgspec.Struct):
-    """A service: how long its upstreams are cold, in s, and how many flows a second they bear."""
+    """A service: the length of its upstreams' slow start (s) and their new flows per s in it."""
 
     name: str
     warmup_s: typing.Annotated[float, msgspec.Meta(ge=0, le=3_600)] = 0.0
@@ -100,13 +99,13 @@
 
 
 class LimitsBody(msgspec.Struct):
-    """The limits; only the silence after which a flow may be forgotten has a meaning here."""
+    """The limits; only the idle timeout of flows is used here."""
 
     idle_timeout_ms: int = routes.DEFAULT_IDLE
 
 
 class ConfigurationBody(msgspec.Struct):
-    """The whole configuration at one version."""
+    """One version of the configuration."""
 
     version: typing.Annotated[int, msgspec.Meta(ge=1)]
     routes: list[RouteBody]
@@ -123,7 +122,7 @@
 
 
 def decode(decoder: "msgspec.json.Decoder[Body]", data: bytes) -> Body:
-    """Return what the bytes hold; raise `PlatformError` if they have another form."""
+    """Return the decoded JSON; raise `PlatformError` if it does not match the decoder's type."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -131,9 +130,9 @@
 
 
 def upstream_of(item: Item, port: int, now: int) -> fleet.Upstream:
-    """Return the upstream that an entry names; raise `PlatformError` if it names none.
+    """Return the upstream of an entry; raise `PlatformError` if the entry is malformed.
 
-    Its sidecar hears other processes at the same address at `port`. `now` is in ms.
+    `port` is its sidecar's internal port, on the same address. `now` is in ms.
     """
     body = decode(ENTRIES, item.value)
     host = host_of(body.address)
@@ -151,7 +150,7 @@
 
 
 def host_of(text: str) -> str:
-    """Return the IPv4 address in `ip:port`; raise `PlatformError` if there is none."""
+    """Return the IPv4 address in `ip:port`; raise `PlatformError` if it is malformed."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     numbers = [int(p) for p in parts if p.isascii() and p.isdigit() and len(p) <= 3]
@@ -161,7 +160,7 @@
 
 
 def routes_of(item: Item) -> routes.Routes:
-    """Return the routes of a configuration; raise `PlatformError` if it holds none."""
+    """Return the routes of a configuration; raise `PlatformError` if it is malformed."""
     body = decode(CONFIGURATIONS, item.value)
     return routes.make_routes(
         body.version,
@@ -172,12 +171,12 @@
 
 
 def warm_up_of(body: ServiceBody) -> warming.SlowStart:
-    """Return how the upstreams of a service start."""
+    """Return the slow start of a service's upstreams."""
     return warming.SlowStart(int(body.warmup_s * 1_000), body.warmup_per_s)
 
 
 def route_of(body: RouteBody) -> tuple[str, int, routes.Route]:
-    """Return the address, the port and the route; raise `PlatformError` if there is none."""
+    """Return address, port and route; raise `PlatformError` if the address or port is invalid."""
     shares = tuple((b.service, b.weight) for b in body.backends if b.weight > 0)
     shares = shares or ((body.service, 1),)
     port = body.prefix.strip("/")
@@ -189,7 +188,7 @@
 
 
 def drained_zone_of(key: str) -> str:
-    """Return the zone that an operator drains by a key; raise `PlatformError` if it names none."""
+    """Return the zone that a drain key names; raise `PlatformError` if it names none."""
     zone = key.removeprefix(DRAINED_PREFIX)
     if not zone:
         raise errors.PlatformError(f'"{key}" names no zone', step=STEP, peer="platform")
--- a/src/ebonystile/platform/node.py
+++ b/src/ebonystile/platform/node.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform fills in from `deploy/settings.json`."""
+"""Read the settings file that the platform generates from the template `deploy/settings.json`."""
 
 import os
 import pathlib
@@ -11,10 +11,10 @@
 from ebonystile.platform import entries
 
 VARIABLE = "EBONYSTILE_NODE_FILE"
-"""The environment variable that holds the path of the file."""
+"""Environment variable with the path of the settings file."""
 
 READY_PATH = "/-/ready"
-"""Where the platform asks, at the readiness address, whether packets may come."""
+"""Path of the readiness check at the readiness address."""
 
 STEP = "read settings"
 
@@ -35,7 +35,7 @@
     "service": "sidecars: the upstream's service",
     "metrics": "where counters and latencies are served, nowhere if left out",
 }
-"""Each field of the settings and what it holds."""
+"""Meaning of each field of the settings."""
 
 FORMS = {
     "name": "name",
@@ -52,14 +52,14 @@
     "service": "name",
     "metrics": "ip:port",
 }
-"""How each field is written."""
+"""Format of each field."""
 
 OF_SIDECARS = frozenset({"from_upstream", "upstream", "service"})
-"""Fields that only sidecars need."""
+"""Fields that only sidecars use."""
 
 
 class Node(msgspec.Struct):
-    """What a process is told of the instance that it runs on; `MEANINGS` explains each field."""
+    """The settings of a process on one instance; `MEANINGS` explains each field."""
 
     name: str
     role: typing.Literal["balancer", "sidecar"]
@@ -82,17 +82,17 @@
 
     @property
     def is_seed(self) -> bool:
-        """Tell whether this instance is one of those that everybody knows from the settings."""
+        """Return whether this instance is one of the seeds."""
         return any(entries.host_of(seed) == self.host for seed in self.seeds)
 
     @property
     def internal(self) -> view.Address:
-        """Return where this process hears the others of the system."""
+        """Return the address at which this process receives messages of other processes."""
         return (self.host, self.internal_port)
 
 
 def path() -> pathlib.Path:
-    """Return the path of the settings file; raise `SettingsError` if none is named."""
+    """Return the path of the settings file; raise `SettingsError` if the variable is not set."""
     named = os.environ.get(VARIABLE)
     if not named:
         raise errors.SettingsError([f"{VARIABLE} is not set"], step=STEP, peer="environment")
@@ -100,7 +100,7 @@
 
 
 def read(file: pathlib.Path) -> Node:
-    """Return the settings in the file; raise `SettingsError` if they do not hold."""
+    """Return the settings in the file; raise `SettingsError` if they are invalid."""
     try:
         node = msgspec.json.decode(file.read_bytes(), type=Node)
         addresses = [node.packets, node.ready, node.store, *node.seeds]
--- a/src/ebonystile/platform/packets.py
+++ b/src/ebonystile/platform/packets.py
@@ -1,7 +1,7 @@
-"""Translate the platform's packets: the head in front of each, and what its fields mean here.
+"""Parse the platform's packet headers and build resets.
 
-The sum at the front is made by the two ends with a key that the system does not have; a packet
-goes on as it came. The fields `echo` and `pad` may be used by the system and are left at 0.
+Callers and upstreams compute the checksum with a key that the system does not have, so packets are
+forwarded unchanged. The fields `echo` and `pad` are free for the system's use and stay 0.
 """
 
 import struct
@@ -9,11 +9,11 @@
 from ebonystile.core.carrying import packet
 
 HEAD = struct.Struct("!IIIIBHHIHI")
-"""sum, sequence, acknowledged, echo, flags, length, destination port and address, source port and
-address: 31 bytes."""
+"""Checksum, sequence, acknowledged, echo, flags, length, destination port and address, source port
+and address: 31 bytes."""
 
 PORT_ADDRESS = struct.Struct("!HI")
-"""Port and address of one end as the head holds them."""
+"""Port and address of one end as the header holds them."""
 
 ADDRESS_PORT = struct.Struct("!IH")
 """Address and port of one end as `packet.Flow` holds them."""
@@ -21,21 +21,21 @@
 SYN, ACK, FIN, RST, RETURNED = 2, 32, 8, 128, 64
 
 FLAGS_AT = 16
-"""Where the byte of the flags is."""
+"""Offset of the flags byte in the header."""
 
 MAX_DATA = 1_200
-"""Most bytes of data in one packet."""
+"""Largest payload of a packet, in bytes."""
 
 
 def from_caller(raw: bytes) -> packet.Packet | None:
-    """Return the packet of a caller, or None if the bytes are none."""
+    """Parse a packet of a caller; return None if it is malformed."""
     return parse(raw, to_route=True)
 
 
 def from_upstream(raw: bytes) -> packet.Packet | None:
-    """Return the packet that an upstream sent or would not take, or None if the bytes are none.
+    """Parse a packet that an upstream sent or returned; return None if it is malformed.
 
-    One that it would not take is a caller's packet, and comes back without the mark of that.
+    A returned packet is a caller's packet that the upstream refused; its RETURNED flag is cleared.
     """
     if len(raw) < HEAD.size:
         return None
@@ -50,7 +50,7 @@
 
 
 def parse(raw: bytes, *, to_route: bool) -> packet.Packet | None:
-    """Return the packet that goes to a route, or comes from it."""
+    """Parse a packet addressed to a route, or sent from one; return None if it is malformed."""
     if not HEAD.size <= len(raw) <= HEAD.size + MAX_DATA:
         return None
     _, sequence, acknowledged, _, flags, length, to_port, to_address, from_port, from_address = (
@@ -76,9 +76,9 @@
 
 
 def make_reset(flow: packet.Flow, position: int) -> bytes:
-    """Return the packet that tells a caller that its flow has ended.
+    """Return a reset of a flow for its caller.
 
-    The caller believes it only near the position that it last acknowledged.
+    The caller accepts it only if `position` is near the one that it last acknowledged.
     """
     caller_address, caller_port = ADDRESS_PORT.unpack_from(flow)
     route_address, route_port = ADDRESS_PORT.unpack_from(flow, packet.END_BYTES)
--- a/src/ebonystile/platform/store.py
+++ b/src/ebonystile/platform/store.py
@@ -1,4 +1,4 @@
-"""Make the calls of the platform's store and translate its answers."""
+"""Build requests to the platform's store and parse its answers."""
 
 import dataclasses
 
@@ -7,26 +7,26 @@
 from ebonystile.platform import entries
 
 RANGE_PATH, WATCH_PATH = "/-/kv-range", "/-/kv-watch"
-"""The calls that read items by the beginning of their keys, and what has changed."""
+"""Paths of the calls that list items by key prefix and that watch for changes."""
 
 PREFIXES = {
     reading.Kind.CONFIGURATION: entries.OPERATORS_PREFIX,
     reading.Kind.ENTRIES: entries.ENTRIES_PREFIX,
 }
-"""How the keys of each list begin. What operators wrote comes in one call: a process that has the
-routes knows which zones are drained before it knows any upstream."""
+"""Key prefix of each list. One list holds all that operators write, so that drained zones are known
+together with the routes and before any upstream."""
 
 OLD_WILL_DO = "&stale_ok=1"
-"""What a query says where a state of some seconds ago will do; the call is priced a tenth."""
+"""Query field that allows an answer some seconds old, at a tenth of the price of a call."""
 
 OK, GONE, UNAVAILABLE = 200, 410, 503
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listed:
-    """A page of a list, which goes on after the key `next_after` unless that is empty.
+    """A page of a list; the next page begins after the key `next_after`, unless that is empty.
 
-    `current` is False for the word of a peer that does not read the store itself just now.
+    `current` is False if it comes from a relay that is not reading the store itself.
     """
 
     items: tuple[entries.Item, ...]
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Watched:
-    """What a watch brought."""
+    """The changes that a watch returned, complete up to `revision`."""
 
     items: tuple[entries.Item, ...]
     revision: int
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forgotten:
-    """The store has no history back to the revision that a watch named."""
+    """The store's history no longer reaches back to the revision that a watch asked for."""
 
 
 Result = Listed | Watched | Forgotten
 
 
 def path_of(call: reading.Call, now: int) -> str:
-    """Return path and query of a call made `now` (ms)."""
+    """Return the path and query of a call made at `now` (ms)."""
     old = OLD_WILL_DO if call.allow_stale else ""
     if call.kind is not reading.Kind.WATCH:
         after = f"&after={quoted(call.after)}" if call.after else ""
@@ -63,9 +63,9 @@
 
 
 def quoted(key: str) -> str:
-    """Return a key as it stands in a query.
+    """Return a key quoted for a query.
 
-    Only lists of several pages need it, so the library is loaded then and holds up no start.
+    `urllib.parse` is imported late for a faster start: only lists of several pages need it.
     """
     import urllib.parse
 
@@ -73,7 +73,7 @@
 
 
 def result_of(call: reading.Call, status: int, body: bytes) -> Result:
-    """Return what an answer says; raise `PlatformError` if it is no usable one."""
+    """Return the parsed answer of a call; raise `PlatformError` if it failed or is malformed."""
     if call.kind is reading.Kind.WATCH and status == GONE:
         return Forgotten()
     if status != OK:
