--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -139,7 +139,7 @@
         call, self.call = self.call, None
         now = clock.now()
         try:
-            result = store.result_of(call, status, body)
+            result = store.parse_result(call, status, body)
         except errors.PlatformError as error:
             without_store = self.source is sourcing.STORE or status == store.UNAVAILABLE
             self.record_failure(call, str(error), without_store)
@@ -174,7 +174,7 @@
 
     def apply_result(self, call: reading.Call, result: store.Result, now: int) -> None:
         """Apply the result of a call to the view and to the relay."""
-        if isinstance(result, store.Forgotten):
+        if isinstance(result, store.HistoryLost):
             self.log.event("history_gone", revision=call.revision)
             self.reader.on_history_lost(now)
             return
--- a/src/ebonystile/carrier/relay.py
+++ b/src/ebonystile/carrier/relay.py
@@ -129,7 +129,7 @@
     def changes_since(self, revision: int) -> pages.Response:
         """Return the answer with the changes after a revision."""
         changed = [item for item in self.history if item.revision > revision]
-        return json_response(entries.News(changed, max(revision, self.revision)))
+        return json_response(entries.WatchEvents(changed, max(revision, self.revision)))
 
     def list_page(self, prefix: str, after: str) -> pages.Response:
         """Return a page of the items whose keys begin with `prefix` and sort behind `after`."""
--- a/src/ebonystile/commands/reference.py
+++ b/src/ebonystile/commands/reference.py
@@ -16,8 +16,8 @@
 
 def carrier_setting(field: msgspec.structs.FieldInfo) -> reference.Setting:
     """Return what the reference tells of a setting of the daemons on the users' platform."""
-    if field.name in node.OF_SIDECARS:
+    if field.name in node.SIDECAR_FIELDS:
         need = "required for sidecars"
     else:
         need = "required" if field.required else "may be left out"
-    return reference.Setting(field.name, node.FORMS[field.name], need, node.MEANINGS[field.name])
+    return reference.Setting(field.name, node.FORMATS[field.name], need, node.MEANINGS[field.name])
--- a/src/ebonystile/platform/client.py
+++ b/src/ebonystile/platform/client.py
@@ -12,13 +12,13 @@
 
 from ebonystile import clock, errors, settings, webclient
 
-MAX_ANSWER = 2 << 20
+MAX_ANSWER_BYTES = 2 << 20
 """Largest answer in bytes; a value, or a page of values, is at most about 1 MB."""
 
 WAIT_MARGIN_MS = 2000
 """Time allowed for an answer after the end of a watch, in ms."""
 
-CONNECTIONS = 2
+MAX_CONNECTIONS = 2
 
 MAX_REVISION = (1 << 63) - 1
 
@@ -97,12 +97,12 @@
     def __init__(self, url: str, now: webclient.Clock):
         self.url = url
         self.now = now
-        self.web = webclient.Client(url, CONNECTIONS, block=False, now=now)
+        self.web = webclient.Client(url, MAX_CONNECTIONS, block=False, now=now)
 
     def watch(self, after: int, wait_until: int) -> Values:
         """Return the values that changed after a revision; wait for one until `wait_until`."""
         step = "watch values"
-        page = self.page("/v1/watch", after, wait_until, ValuesPage, step)
+        page = self.fetch_page("/v1/watch", after, wait_until, ValuesPage, step)
         revisions = [value.revision for value in page.values]
         if revisions != sorted(set(revisions)):
             raise self.error("values are not in the order of their revisions", step)
@@ -115,12 +115,14 @@
     def instances(self, after: int, wait_until: int) -> Instances:
         """Return the instances that changed after a revision of the list."""
         step = "watch instances"
-        page = self.page("/v1/instances", after, wait_until, InstancesPage, step)
+        page = self.fetch_page("/v1/instances", after, wait_until, InstancesPage, step)
         if page.more and page.revision <= after:
             raise self.error("there is more, but nothing came", step)
         return Instances(page.revision, page.instances, page.more)
 
-    def page(self, path: str, after: int, wait_until: int, model: type[Page], step: str) -> Page:
+    def fetch_page(
+        self, path: str, after: int, wait_until: int, model: type[Page], step: str
+    ) -> Page:
         """Make one call and return its validated answer."""
         wait_ms = max(0, wait_until - self.now())
         query = urllib.parse.urlencode({"after": after, "wait_ms": wait_ms})
@@ -128,7 +130,7 @@
             "GET",
             f"{path}?{query}",
             deadline=self.now() + wait_ms + WAIT_MARGIN_MS,
-            limit=MAX_ANSWER,
+            limit=MAX_ANSWER_BYTES,
             fail=lambda reason, _: self.error(reason, step),
         )
         if response.status != 200:
--- a/src/ebonystile/platform/documents.py
+++ b/src/ebonystile/platform/documents.py
@@ -16,7 +16,7 @@
 MAX_BYTES = 1 << 20
 """Largest value that the platform stores, in bytes of JSON."""
 
-LEAVING = "leaving"
+LEAVING_LABEL = "leaving"
 """The label that, with the value "true", keeps new work from an instance."""
 
 NAME = r"^[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?$"
@@ -102,7 +102,7 @@
         ) from error
 
 
-def check(key: str, value: typing.Any) -> list[str]:
+def list_faults(key: str, value: typing.Any) -> list[str]:
     """Return all faults of the document, each with its path; an empty list if it is valid."""
     try:
         parse(key, value)
@@ -131,12 +131,12 @@
         )
         text = fault["msg"].removeprefix("Value error, ")
         if fault["type"] == "extra_forbidden":
-            text = f"unknown key{nearest(str(fault['loc'][-1]), model)}"
+            text = f"unknown key{suggestion(str(fault['loc'][-1]), model)}"
         lines.append(f"{path or 'document'}: {text}")
     return list(dict.fromkeys(lines))
 
 
-def nearest(word: str, model: type[Document]) -> str:
+def suggestion(word: str, model: type[Document]) -> str:
     """Return a hint with the known key most similar to `word`, "" if there is none."""
     known = [*model.model_fields, *ServiceSpec.model_fields]
     near = difflib.get_close_matches(word, known, n=1)
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -15,7 +15,7 @@
 CONFIGURATION_KEY = "op/config"
 DRAINED_PREFIX = "op/evacuate/"
 ENTRIES_PREFIX = "servers/"
-EVERYTHING = ""
+ALL_PREFIX = ""
 
 STEP = "read the store"
 
@@ -45,7 +45,7 @@
     current: bool = True
 
 
-class News(msgspec.Struct):
+class WatchEvents(msgspec.Struct):
     """The answer to a watch; the next watch continues from `store_revision`."""
 
     events: list[Item]
@@ -113,10 +113,10 @@
     limits: LimitsBody = msgspec.field(default_factory=LimitsBody)
 
 
-PAGES = msgspec.json.Decoder(Page)
-NEWS = msgspec.json.Decoder(News)
-ENTRIES = msgspec.json.Decoder(EntryBody)
-CONFIGURATIONS = msgspec.json.Decoder(ConfigurationBody)
+PAGE_DECODER = msgspec.json.Decoder(Page)
+WATCH_DECODER = msgspec.json.Decoder(WatchEvents)
+ENTRY_DECODER = msgspec.json.Decoder(EntryBody)
+CONFIGURATION_DECODER = msgspec.json.Decoder(ConfigurationBody)
 
 Body = typing.TypeVar("Body")
 
@@ -134,7 +134,7 @@
 
     `port` is its sidecar's internal port, on the same address. `now` is in ms.
     """
-    body = decode(ENTRIES, item.value)
+    body = decode(ENTRY_DECODER, item.value)
     host = host_of(body.address)
     return fleet.make_upstream(
         item.key.removeprefix(ENTRIES_PREFIX),
@@ -161,7 +161,7 @@
 
 def routes_of(item: Item) -> routes.Routes:
     """Return the routes of a configuration; raise `PlatformError` if it is malformed."""
-    body = decode(CONFIGURATIONS, item.value)
+    body = decode(CONFIGURATION_DECODER, item.value)
     return routes.make_routes(
         body.version,
         (route_of(route) for route in body.routes),
--- a/src/ebonystile/platform/node.py
+++ b/src/ebonystile/platform/node.py
@@ -10,7 +10,7 @@
 from ebonystile.core import view
 from ebonystile.platform import entries
 
-VARIABLE = "EBONYSTILE_NODE_FILE"
+FILE_VARIABLE = "EBONYSTILE_NODE_FILE"
 """Environment variable with the path of the settings file."""
 
 READY_PATH = "/-/ready"
@@ -37,7 +37,7 @@
 }
 """Meaning of each field of the settings."""
 
-FORMS = {
+FORMATS = {
     "name": "name",
     "role": '"balancer" or "sidecar"',
     "zone": "name",
@@ -54,7 +54,7 @@
 }
 """Format of each field."""
 
-OF_SIDECARS = frozenset({"from_upstream", "upstream", "service"})
+SIDECAR_FIELDS = frozenset({"from_upstream", "upstream", "service"})
 """Fields that only sidecars use."""
 
 
@@ -93,9 +93,9 @@
 
 def path() -> pathlib.Path:
     """Return the path of the settings file; raise `SettingsError` if the variable is not set."""
-    named = os.environ.get(VARIABLE)
+    named = os.environ.get(FILE_VARIABLE)
     if not named:
-        raise errors.SettingsError([f"{VARIABLE} is not set"], step=STEP, peer="environment")
+        raise errors.SettingsError([f"{FILE_VARIABLE} is not set"], step=STEP, peer="environment")
     return pathlib.Path(named)
 
 
--- a/src/ebonystile/platform/packets.py
+++ b/src/ebonystile/platform/packets.py
@@ -8,7 +8,7 @@
 
 from ebonystile.core.carrying import packet
 
-HEAD = struct.Struct("!IIIIBHHIHI")
+HEADER = struct.Struct("!IIIIBHHIHI")
 """Checksum, sequence, acknowledged, echo, flags, length, destination port and address, source port
 and address: 31 bytes."""
 
@@ -20,10 +20,10 @@
 
 SYN, ACK, FIN, RST, RETURNED = 2, 32, 8, 128, 64
 
-FLAGS_AT = 16
+FLAGS_OFFSET = 16
 """Offset of the flags byte in the header."""
 
-MAX_DATA = 1_200
+MAX_DATA_BYTES = 1_200
 """Largest payload of a packet, in bytes."""
 
 
@@ -37,12 +37,12 @@
 
     A returned packet is a caller's packet that the upstream refused; its RETURNED flag is cleared.
     """
-    if len(raw) < HEAD.size:
+    if len(raw) < HEADER.size:
         return None
-    if not raw[FLAGS_AT] & RETURNED:
+    if not raw[FLAGS_OFFSET] & RETURNED:
         return parse(raw, to_route=False)
     unmarked = bytearray(raw)
-    unmarked[FLAGS_AT] &= ~RETURNED
+    unmarked[FLAGS_OFFSET] &= ~RETURNED
     back = parse(bytes(unmarked), to_route=True)
     if back is not None:
         back.returned = True
@@ -51,12 +51,12 @@
 
 def parse(raw: bytes, *, to_route: bool) -> packet.Packet | None:
     """Parse a packet addressed to a route, or sent from one; return None if it is malformed."""
-    if not HEAD.size <= len(raw) <= HEAD.size + MAX_DATA:
+    if not HEADER.size <= len(raw) <= HEADER.size + MAX_DATA_BYTES:
         return None
     _, sequence, acknowledged, _, flags, length, to_port, to_address, from_port, from_address = (
-        HEAD.unpack_from(raw)
+        HEADER.unpack_from(raw)
     )
-    if len(raw) != HEAD.size + length:
+    if len(raw) != HEADER.size + length:
         return None
     target = ADDRESS_PORT.pack(to_address, to_port)
     origin = ADDRESS_PORT.pack(from_address, from_port)
@@ -82,6 +82,6 @@
     """
     caller_address, caller_port = ADDRESS_PORT.unpack_from(flow)
     route_address, route_port = ADDRESS_PORT.unpack_from(flow, packet.END_BYTES)
-    return HEAD.pack(
+    return HEADER.pack(
         0, position, 0, 0, RST, 0, caller_port, caller_address, route_port, route_address
     )
--- a/src/ebonystile/platform/store.py
+++ b/src/ebonystile/platform/store.py
@@ -16,7 +16,7 @@
 """Key prefix of each list. One list holds all that operators write, so that drained zones are known
 together with the routes and before any upstream."""
 
-OLD_WILL_DO = "&stale_ok=1"
+ALLOW_STALE = "&stale_ok=1"
 """Query field that allows an answer some seconds old, at a tenth of the price of a call."""
 
 OK, GONE, UNAVAILABLE = 200, 410, 503
@@ -44,25 +44,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forgotten:
+class HistoryLost:
     """The store's history no longer reaches back to the revision that a watch asked for."""
 
 
-Result = Listed | Watched | Forgotten
+Result = Listed | Watched | HistoryLost
 
 
 def path_of(call: reading.Call, now: int) -> str:
     """Return the path and query of a call made at `now` (ms)."""
-    old = OLD_WILL_DO if call.allow_stale else ""
+    old = ALLOW_STALE if call.allow_stale else ""
     if call.kind is not reading.Kind.WATCH:
-        after = f"&after={quoted(call.after)}" if call.after else ""
+        after = f"&after={quote_key(call.after)}" if call.after else ""
         return f"{RANGE_PATH}?prefix={PREFIXES[call.kind]}{after}{old}"
     wait = max(0, call.wait_until - now)
-    prefix = entries.EVERYTHING
+    prefix = entries.ALL_PREFIX
     return f"{WATCH_PATH}?prefix={prefix}&after={call.revision}&wait_ms={wait}"
 
 
-def quoted(key: str) -> str:
+def quote_key(key: str) -> str:
     """Return a key quoted for a query.
 
     `urllib.parse` is imported late for a faster start: only lists of several pages need it.
@@ -72,16 +72,16 @@
     return urllib.parse.quote(key, safe="")
 
 
-def result_of(call: reading.Call, status: int, body: bytes) -> Result:
+def parse_result(call: reading.Call, status: int, body: bytes) -> Result:
     """Return the parsed answer of a call; raise `PlatformError` if it failed or is malformed."""
     if call.kind is reading.Kind.WATCH and status == GONE:
-        return Forgotten()
+        return HistoryLost()
     if status != OK:
         reason = f"status {status}"
         raise errors.PlatformError(reason, step=f"read {call.kind.value}", peer="platform")
     if call.kind is not reading.Kind.WATCH:
-        page = entries.decode(entries.PAGES, body)
+        page = entries.decode(entries.PAGE_DECODER, body)
         more = page.items[-1].key if page.has_more and page.items else ""
         return Listed(tuple(page.items), page.store_revision, more, page.current)
-    news = entries.decode(entries.NEWS, body)
+    news = entries.decode(entries.WATCH_DECODER, body)
     return Watched(tuple(news.events), news.store_revision)
--- a/standins/ends.py
+++ b/standins/ends.py
@@ -28,7 +28,7 @@
     """Return a packet between two ends, each 6 bytes of address and port."""
     origin_address, origin_port = packets.ADDRESS_PORT.unpack(origin)
     target_address, target_port = packets.ADDRESS_PORT.unpack(target)
-    head = packets.HEAD.pack(
+    head = packets.HEADER.pack(
         0xC0FFEE,
         sequence % POSITIONS,
         acknowledged % POSITIONS,
@@ -115,7 +115,7 @@
         """Run the request, once however often it comes, and return the answer."""
         body = accepted.answers.get(shown.sequence)
         if body is None:
-            request = shown.raw[packets.HEAD.size :]
+            request = shown.raw[packets.HEADER.size :]
             self.ran.append(request)
             body = accepted.answers[shown.sequence] = self.name.encode() + b":" + request
         caller, route = ends(shown.flow)
@@ -131,7 +131,7 @@
 def mark_returned(raw: bytes) -> bytes:
     """Return the packet as an upstream gives it back."""
     marked = bytearray(raw)
-    marked[packets.FLAGS_AT] |= packets.RETURNED
+    marked[packets.FLAGS_OFFSET] |= packets.RETURNED
     return bytes(marked)
 
 
@@ -206,7 +206,7 @@
             caller, route = ends(self.flow)
             return [pack(caller, route, packets.ACK, self.sequence, self.acknowledged)]
         if got.length and self.waiting is not None:
-            self.answer = raw[packets.HEAD.size :]
+            self.answer = raw[packets.HEADER.size :]
             self.answered_at = now
             self.sequence = (self.sequence + len(self.waiting)) % POSITIONS
             self.acknowledged = (got.sequence + got.length) % POSITIONS
--- a/tests/carrier/test_feed.py
+++ b/tests/carrier/test_feed.py
@@ -130,7 +130,9 @@
     news(made, [item(DRAINED, 11)], 11)
     made.call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
     made.on_failure("silent")
-    made.apply_result(reading.Call(reading.Kind.WATCH, clock.now()), store.Forgotten(), clock.now())
+    made.apply_result(
+        reading.Call(reading.Kind.WATCH, clock.now()), store.HistoryLost(), clock.now()
+    )
     assert made.fleet.drained == {"umea"}
 
 
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -48,7 +48,7 @@
     def result(self):
         self.step_until(lambda: self.results)
         call, status, body = self.results.pop()
-        return store.result_of(call, status, body)
+        return store.parse_result(call, status, body)
 
     def status(self):
         self.step_until(lambda: self.results)
@@ -107,7 +107,7 @@
 def test_a_reader_that_is_too_far_behind_is_told_to_read_everything(bench):
     fill(bench)
     bench.get(reading.Kind.WATCH, revision=9)
-    assert isinstance(bench.result(), store.Forgotten)
+    assert isinstance(bench.result(), store.HistoryLost)
 
 
 def test_a_relay_that_has_lost_the_store_answers_no_watch_but_gives_its_list(bench):
--- a/tests/carrying/test_overloaded.py
+++ b/tests/carrying/test_overloaded.py
@@ -45,7 +45,7 @@
         elif len(work.waiting) < QUEUE:
             work.waiting.append(raw)
         else:
-            super().from_upstream(node, raw[: packets.HEAD.size] + SHED.ljust(sent.length))
+            super().from_upstream(node, raw[: packets.HEADER.size] + SHED.ljust(sent.length))
 
     def done(self, node, raw):
         work = self.work[node.address]
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -143,7 +143,7 @@
         "store_revision": 9,
     }
     asked = call(reading.Kind.ENTRIES)
-    result = store.result_of(asked, 200, json.dumps(body).encode())
+    result = store.parse_result(asked, 200, json.dumps(body).encode())
     assert result.next_after == "servers/i 1" and result.revision == 9
     path = store.path_of(call(reading.Kind.ENTRIES, after=result.next_after), 0)
     assert path == "/-/kv-range?prefix=servers/&after=servers%2Fi%201"
@@ -158,17 +158,17 @@
         "store_revision": 413,
     }
     asked = call(reading.Kind.WATCH, revision=411, wait_until=5_000)
-    result = store.result_of(asked, 200, json.dumps(body).encode())
+    result = store.parse_result(asked, 200, json.dumps(body).encode())
     assert [i.tombstone for i in result.items] == [False, True]
     assert store.path_of(asked, 1_000).endswith("after=411&wait_ms=4000")
 
 
 def test_a_store_that_has_forgotten_is_told_from_one_that_fails():
     asked = call(reading.Kind.WATCH)
-    assert isinstance(store.result_of(asked, 410, b""), store.Forgotten)
+    assert isinstance(store.parse_result(asked, 410, b""), store.HistoryLost)
     for status in (429, 500, 503, 404):
         with pytest.raises(errors.PlatformError):
-            store.result_of(asked, status, b"")
+            store.parse_result(asked, status, b"")
     for torn in (b"", b"{", b'{"events":', b"[]", b"\xff\xfe"):
         with pytest.raises(errors.PlatformError):
-            store.result_of(asked, 200, torn)
+            store.parse_result(asked, 200, torn)
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -47,15 +47,15 @@
 def test_a_missing_file_or_variable_is_told(tmp_path, monkeypatch):
     with pytest.raises(errors.SettingsError):
         node.read(tmp_path / "none.json")
-    monkeypatch.delenv(node.VARIABLE, raising=False)
-    with pytest.raises(errors.SettingsError, match=node.VARIABLE):
+    monkeypatch.delenv(node.FILE_VARIABLE, raising=False)
+    with pytest.raises(errors.SettingsError, match=node.FILE_VARIABLE):
         node.path()
 
 
 def test_the_template_fills_in_every_field():
     text = (ROOT / "deploy" / "settings.json").read_text()
     assert set(re.findall(r'"(\w+)":', text)) == set(node.MEANINGS)
-    assert set(node.MEANINGS) == set(node.FORMS) == set(node.Node.__struct_fields__)
+    assert set(node.MEANINGS) == set(node.FORMATS) == set(node.Node.__struct_fields__)
 
 
 def test_check_accepts_and_explains_them(tmp_path):
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -36,10 +36,10 @@
 def test_any_bytes_are_a_packet_or_none(raw):
     for parse in (packets.from_caller, packets.from_upstream):
         shown = parse(raw)
-        assert shown is None or len(shown.raw) == packets.HEAD.size + shown.length
+        assert shown is None or len(shown.raw) == packets.HEADER.size + shown.length
 
 
-@hypothesis.given(POSITION, POSITION, strategies.binary(max_size=packets.MAX_DATA))
+@hypothesis.given(POSITION, POSITION, strategies.binary(max_size=packets.MAX_DATA_BYTES))
 def test_both_directions_of_a_flow_have_one_name(sequence, acknowledged, data):
     there = ends.pack(CALLER, ROUTE, packets.ACK, sequence, acknowledged, data)
     back = ends.pack(ROUTE, CALLER, packets.ACK, acknowledged, sequence, data)
@@ -49,7 +49,7 @@
     assert (shown.length, sent.length) == (len(data), len(data))
 
 
-@hypothesis.given(POSITION, strategies.binary(max_size=packets.MAX_DATA))
+@hypothesis.given(POSITION, strategies.binary(max_size=packets.MAX_DATA_BYTES))
 def test_a_packet_that_an_upstream_returned_is_the_callers_again(sequence, data):
     """An upstream that does not hold a flow gives its packet back with a mark.
 
@@ -60,7 +60,7 @@
     assert back.returned and back.raw == there and back.flow == CALLER + ROUTE
 
 
-@pytest.mark.parametrize("cut", range(packets.HEAD.size))
+@pytest.mark.parametrize("cut", range(packets.HEADER.size))
 def test_a_cut_off_head_is_no_packet(cut):
     assert packets.from_caller(OPENING[:cut]) is None
     assert packets.from_upstream(OPENING[:cut]) is None
--- a/tests/platform/test_platform_client.py
+++ b/tests/platform/test_platform_client.py
@@ -46,7 +46,7 @@
         values(9, 10),
         values(9, 3),
         values(4, more=True),
-        b" " * (client.MAX_ANSWER + 1),
+        b" " * (client.MAX_ANSWER_BYTES + 1),
     ],
 )
 def test_bad_watches_are_one_typed_error(canned, body):
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -17,7 +17,7 @@
     ],
 )
 def test_good_documents(key, value):
-    assert documents.check(key, value) == []
+    assert documents.list_faults(key, value) == []
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
     ],
 )
 def test_faults_name_their_path(key, value, faults):
-    found = documents.check(key, value)
+    found = documents.list_faults(key, value)
     assert len(found) == len(faults), found
     for line, start in zip(found, faults, strict=True):
         assert line.startswith(start)
@@ -55,6 +55,6 @@
 
 def test_unknown_key_names_the_nearest():
     value = {"services": {"x": {**GOOD, "selectors": {}}}}
-    assert documents.check("services/a", value) == [
+    assert documents.list_faults("services/a", value) == [
         'services.x.selectors: unknown key (did you mean "selector"?)'
     ]
