--- a/src/ebonystile/core/carrying/announcing.py
+++ b/src/ebonystile/core/carrying/announcing.py
@@ -14,43 +14,43 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import effects, fleet, messages
 
-UNLISTED_EVERY_MS = 200
+ANNOUNCE_INTERVAL_MS = 200
 """Interval of the announcements of a sidecar whose upstream has no entry, in ms: every tick."""
 
-UNLISTED_FOR_MS = 10_000
+ANNOUNCE_UNLISTED_MS = 10_000
 """How long a sidecar whose upstream has no entry announces itself, in ms. An upstream that can
 reach the store has an entry again within about 2 s."""
 
-SEED_KEEPS_MS = 1_000
+SEED_TTL_MS = 1_000
 """How long a seed or witness keeps an announcement, in ms: five intervals. Balancers wait for the
 answers of announced sidecars, so one that has ended must be dropped soon."""
 
-ASKER_KEEPS_MS = 3_000
+ASKER_TTL_MS = 3_000
 """How long a balancer keeps the sidecars without an entry that a seed or witness named, in ms.
 Most searches for flows come in the first seconds after a restart of all processes."""
 
-RELAY_EVERY_MS = 1_000
+RELAY_ANNOUNCE_INTERVAL_MS = 1_000
 """Interval of the announcements of a relay, in ms."""
 
-SEED_LISTENED_MS = 2 * UNLISTED_EVERY_MS
+SEED_MIN_LISTENED_MS = 2 * ANNOUNCE_INTERVAL_MS
 """How long a seed must have received announcements, and a balancer had a current view, before the
 seed's answer confirms that view, in ms: two intervals, as one announcement may be lost."""
 
-WITNESSES, WITNESSES_AGREED = 4, 3
+WITNESS_COUNT, WITNESS_QUORUM = 4, 3
 """Number of witnesses, and how many of them must answer to confirm a view. One entry more or less
 in a process's list of upstreams changes at most one of its witnesses."""
 
-WITNESS_LISTENED_MS = 500
+WITNESS_MIN_LISTENED_MS = 500
 """How long a witness must have received announcements, with no entry added, for its answer to
 count, in ms. Instances restart within 300 ms of each other after a common power loss, and one of
 two announcements may be lost."""
 
-ASK_EVERY_MS = 100
-ASK_FOR_MS = 1_000
+ASK_INTERVAL_MS = 100
+ASK_TIMEOUT_MS = 1_000
 """Interval at which a balancer asks seeds and witnesses, and for how long it does, in ms. After
 that time the age of the view confirms it."""
 
-MOST_TOLD = 128
+MAX_UNLISTED_PER_ANSWER = 128
 """Bound on the sidecars in one answer, 6 bytes each."""
 
 
@@ -63,7 +63,7 @@
         self.unlisted_since: int | None = None
         self.announced_at: int | None = None
 
-    def due(
+    def due_announcements(
         self, listed: bool, now: int, witnesses: tuple[view.Address, ...] = ()
     ) -> list[effects.Effect]:
         """Return the announcements due now; called at each tick and change of the view."""
@@ -72,24 +72,24 @@
         elif self.unlisted_since is None:
             self.unlisted_since = now
             self.announced_at = None
-        elif now - self.unlisted_since >= UNLISTED_FOR_MS:
+        elif now - self.unlisted_since >= ANNOUNCE_UNLISTED_MS:
             return []
         if listed and not self.relays:
             return []
-        if self.announced_at is not None and now - self.announced_at < self.pause():
+        if self.announced_at is not None and now - self.announced_at < self.interval_ms():
             return []
         self.announced_at = now
         announced = messages.Announce(listed, self.relays)
-        told = self.seeds if listed else (*self.seeds, *witnesses)
-        return [effects.Send(address, announced) for address in told]
+        addresses = self.seeds if listed else (*self.seeds, *witnesses)
+        return [effects.Send(address, announced) for address in addresses]
 
-    def pause(self) -> int:
+    def interval_ms(self) -> int:
         """Return the interval between two announcements, in ms."""
-        return RELAY_EVERY_MS if self.unlisted_since is None else UNLISTED_EVERY_MS
+        return RELAY_ANNOUNCE_INTERVAL_MS if self.unlisted_since is None else ANNOUNCE_INTERVAL_MS
 
 
 @dataclasses.dataclass(slots=True)
-class Confirmation:
+class ListConfirmation:
     """Whether seeds or witnesses have confirmed that one balancer's view lacks no sidecar.
 
     `confirmed` is set once a seed, or enough witnesses, that have received announcements for long
@@ -104,69 +104,71 @@
     ask_at: int | None = None
     give_up_at: int = 0
     seeds_from: int = 0
-    agreed: set[view.Address] = dataclasses.field(default_factory=set)
+    answered: set[view.Address] = dataclasses.field(default_factory=set)
 
-    def view_began(self, now: int) -> None:
+    def on_view_current(self, now: int) -> None:
         """Record that the view is current from now on, and start asking."""
         self.confirmed = False
-        self.agreed.clear()
+        self.answered.clear()
         self.ask_at = now
-        self.seeds_from = now + SEED_LISTENED_MS
-        self.give_up_at = now + ASK_FOR_MS
+        self.seeds_from = now + SEED_MIN_LISTENED_MS
+        self.give_up_at = now + ASK_TIMEOUT_MS
 
-    def ask(self, witnesses: tuple[view.Address, ...], now: int) -> list[effects.Effect]:
+    def due_questions(self, witnesses: tuple[view.Address, ...], now: int) -> list[effects.Effect]:
         """Return the questions that are due; none once the view is confirmed."""
         if self.ask_at is None or self.ask_at > now:
             return []
         by_seeds = now >= self.seeds_from
-        if by_seeds and self.is_seed and now - self.started_at >= SEED_LISTENED_MS:
-            self.settle()
+        if by_seeds and self.is_seed and now - self.started_at >= SEED_MIN_LISTENED_MS:
+            self.confirm()
             return []
-        self.ask_at = now + ASK_EVERY_MS if now < self.give_up_at else None
+        self.ask_at = now + ASK_INTERVAL_MS if now < self.give_up_at else None
         asked = (*witnesses, *self.seeds) if by_seeds else witnesses
         return [effects.Send(address, messages.AskUnlisted()) for address in asked]
 
-    def take(
-        self, source: view.Address, listening: int, witnesses: tuple[view.Address, ...]
+    def record_answer(
+        self, source: view.Address, listened_ms: int, witnesses: tuple[view.Address, ...]
     ) -> None:
         """Handle the answer of a seed or witness.
 
-        `listening` is for how long it has received announcements, in ms.
+        `listened_ms` is for how long it has received announcements.
         """
         if self.ask_at is None:
             return
-        if source in self.seeds and listening >= SEED_LISTENED_MS:
-            self.settle()
-        if source not in witnesses or listening < WITNESS_LISTENED_MS:
+        if source in self.seeds and listened_ms >= SEED_MIN_LISTENED_MS:
+            self.confirm()
+        if source not in witnesses or listened_ms < WITNESS_MIN_LISTENED_MS:
             return
-        self.agreed.add(source)
-        if len(self.agreed.intersection(witnesses)) >= WITNESSES_AGREED:
-            self.settle()
+        self.answered.add(source)
+        if len(self.answered.intersection(witnesses)) >= WITNESS_QUORUM:
+            self.confirm()
 
-    def settle(self) -> None:
+    def confirm(self) -> None:
         """Mark the view as confirmed, and stop asking."""
         self.confirmed = True
         self.ask_at = None
 
 
-def witnesses_of(known: fleet.Fleet) -> tuple[view.Address, ...]:
+def witnesses_of(current_fleet: fleet.Fleet) -> tuple[view.Address, ...]:
     """Return the witnesses: the sidecars with the lowest keys, the same for equal lists."""
-    listed = known.by_address.values()
-    return tuple(u.address for u in heapq.nsmallest(WITNESSES, listed, key=lambda u: u.key))
+    listed = current_fleet.by_address.values()
+    return tuple(u.address for u in heapq.nsmallest(WITNESS_COUNT, listed, key=lambda u: u.key))
 
 
-def note(known: fleet.Fleet, address: view.Address, until: int) -> None:
+def record_unlisted(current_fleet: fleet.Fleet, address: view.Address, until: int) -> None:
     """Add a sidecar without an entry to the upstreams that may be alive, until a time in ms."""
     host, port = address
-    known.note_unlisted(fleet.make_upstream(f"{host}:{port}", 0, "", address, "", 1), until)
+    current_fleet.note_unlisted(fleet.make_upstream(f"{host}:{port}", 0, "", address, "", 1), until)
 
 
-def answer(known: fleet.Fleet, listening: int) -> messages.AnswerUnlisted:
-    """Return the answer that names the sidecars without an entry; `listening` is in ms.
+def make_unlisted_answer(current_fleet: fleet.Fleet, listened_ms: int) -> messages.AnswerUnlisted:
+    """Return the answer that names the sidecars without an entry.
 
-    If there are more than fit, `listening` is 0 in the answer: it must not confirm the balancer's
-    view, or flows at the sidecars left out would be reset.
+    If there are more than fit, the answer's `listened_ms` is 0, so that it does not confirm the
+    balancer's view. Otherwise flows at the sidecars left out would be reset.
     """
-    told = [upstream.address for upstream in known.unlisted()]
-    heard_all = len(told) <= MOST_TOLD
-    return messages.AnswerUnlisted(listening if heard_all else 0, tuple(told[-MOST_TOLD:]))
+    addresses = [upstream.address for upstream in current_fleet.unlisted()]
+    is_complete = len(addresses) <= MAX_UNLISTED_PER_ANSWER
+    return messages.AnswerUnlisted(
+        listened_ms if is_complete else 0, tuple(addresses[-MAX_UNLISTED_PER_ANSWER:])
+    )
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -180,7 +180,7 @@
         """Return the queries for sidecars without an entry, if they are due."""
         if self.confirmation.ask_at is None or self.confirmation.ask_at > now:
             return []
-        return self.confirmation.ask(announcing.witnesses_of(self.fleet), now)
+        return self.confirmation.due_questions(announcing.witnesses_of(self.fleet), now)
 
     def on_tick(self, now: int) -> list[effects.Effect]:
         """Drop expired state; while unreachable, query one sidecar to notice the end of that."""
@@ -289,21 +289,25 @@
 @act.register
 def _(message: messages.Announce, balancer, received, source, now):
     if not message.listed:
-        announcing.note(balancer.fleet, source, now + announcing.SEED_KEEPS_MS)
+        announcing.record_unlisted(balancer.fleet, source, now + announcing.SEED_TTL_MS)
     return [effects.ReadFrom(source)] if message.relays else []
 
 
 @act.register
 def _(message: messages.AskUnlisted, balancer, received, source, now):
-    return [effects.Send(source, announcing.answer(balancer.fleet, now - balancer.started_at))]
+    return [
+        effects.Send(
+            source, announcing.make_unlisted_answer(balancer.fleet, now - balancer.started_at)
+        )
+    ]
 
 
 @act.register
 def _(message: messages.AnswerUnlisted, balancer, received, source, now):
     for address in message.sidecars:
-        announcing.note(balancer.fleet, address, now + announcing.ASKER_KEEPS_MS)
+        announcing.record_unlisted(balancer.fleet, address, now + announcing.ASKER_TTL_MS)
     witnesses = announcing.witnesses_of(balancer.fleet)
-    balancer.confirmation.take(source, message.listened_ms, witnesses)
+    balancer.confirmation.record_answer(source, message.listened_ms, witnesses)
     return []
 
 
--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -62,7 +62,7 @@
     ):
         self.zone = zone
         self.started_at = now
-        self.confirmation = announcing.Confirmation(seeds, is_seed, now)
+        self.confirmation = announcing.ListConfirmation(seeds, is_seed, now)
         self.placed: collections.deque[tuple[int, view.Address]] = collections.deque()
         self.pending: dict[packet.Flow, packet.Packet] = {}
         self.current = routes.Current()
@@ -130,7 +130,7 @@
         """Record whether the view matches the store's present content."""
         if fresh and not self.view_fresh:
             self.view_since = now
-            self.confirmation.view_began(now)
+            self.confirmation.on_view_current(now)
         self.view_fresh = fresh
 
     def unreachable(self, now: int) -> bool:
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -256,9 +256,9 @@
         if self.first_view is None:
             return []
         if self.own is not None:
-            return self.announcer.due(True, now)
+            return self.announcer.due_announcements(True, now)
         witnesses = announcing.witnesses_of(self.fleet)
-        return self.announcer.due(False, now, witnesses)
+        return self.announcer.due_announcements(False, now, witnesses)
 
     def listening(self, now: int) -> int:
         """Return for how long, in ms, this sidecar has received the announcements meant for it.
@@ -461,13 +461,15 @@
 @act.register
 def _(message: messages.Announce, sidecar, received, source, now):
     if not message.listed:
-        announcing.note(sidecar.fleet, source, now + announcing.SEED_KEEPS_MS)
+        announcing.record_unlisted(sidecar.fleet, source, now + announcing.SEED_TTL_MS)
     return []
 
 
 @act.register
 def _(message: messages.AskUnlisted, sidecar, received, source, now):
-    return [effects.Send(source, announcing.answer(sidecar.fleet, sidecar.listening(now)))]
+    return [
+        effects.Send(source, announcing.make_unlisted_answer(sidecar.fleet, sidecar.listening(now)))
+    ]
 
 
 @act.register
--- a/src/ebonystile/core/carrying/sourcing.py
+++ b/src/ebonystile/core/carrying/sourcing.py
@@ -61,17 +61,17 @@
     index: fleet.Index | None = None
     excluded_until: dict[Source, int] = dataclasses.field(default_factory=dict)
 
-    def refresh(self, known: fleet.Fleet) -> None:
+    def refresh(self, current_fleet: fleet.Fleet) -> None:
         """Recompute the watchers if the list of upstreams has changed.
 
         This is called after every watch, so an unchanged list of thousands of upstreams must not be
         sorted again.
         """
-        if known.index is self.index:
+        if current_fleet.index is self.index:
             return
-        self.index = known.index
+        self.index = current_fleet.index
         by_zone: dict[str, list[fleet.Upstream]] = {}
-        for upstream in known.by_address.values():
+        for upstream in current_fleet.by_address.values():
             by_zone.setdefault(upstream.zone, []).append(upstream)
         watching = {
             zone: [
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -56,7 +56,7 @@
     seed_with(scene, scene.balancers[1])
     view_begins(scene, scene.balancers)
     scene.ask(caller, b"again")
-    scene.run(announcing.SEED_LISTENED_MS)
+    scene.run(announcing.SEED_MIN_LISTENED_MS)
     assert caller.resets == 0
     scene.run(100)
     assert caller.resets == 1
@@ -76,9 +76,9 @@
     scene.restart_balancer(scene.balancers[0])
     view_begins(scene, scene.balancers)
     scene.ask(caller, b"again")
-    scene.run(announcing.WITNESS_LISTENED_MS - 300 - 20)
+    scene.run(announcing.WITNESS_MIN_LISTENED_MS - 300 - 20)
     assert caller.resets == 0
-    scene.run(announcing.ASK_EVERY_MS + 100)
+    scene.run(announcing.ASK_INTERVAL_MS + 100)
     assert caller.resets == 1
 
 
@@ -114,7 +114,7 @@
     view_begins(scene, scene.balancers)
     scene.ask(caller, b"again")
     for address, entry in list(listed.items())[4:]:
-        scene.run(announcing.WITNESS_LISTENED_MS // 2)
+        scene.run(announcing.WITNESS_MIN_LISTENED_MS // 2)
         scene.entry_of[address] = entry
         scene.known(scene.sidecars)
         assert not scene.balancers[0].core.confirmation.confirmed
@@ -136,14 +136,14 @@
 
 
 def test_two_witnesses_are_not_enough():
-    confirmation = announcing.Confirmation((), False, 0)
-    confirmation.view_began(0)
+    confirmation = announcing.ListConfirmation((), False, 0)
+    confirmation.on_view_current(0)
     witnesses = (("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1), ("10.0.0.4", 1))
     for witness in (*witnesses[:2], witnesses[0], ("10.0.0.9", 1)):
-        confirmation.take(witness, announcing.WITNESS_LISTENED_MS, witnesses)
-    confirmation.take(witnesses[2], announcing.WITNESS_LISTENED_MS - 1, witnesses)
+        confirmation.record_answer(witness, announcing.WITNESS_MIN_LISTENED_MS, witnesses)
+    confirmation.record_answer(witnesses[2], announcing.WITNESS_MIN_LISTENED_MS - 1, witnesses)
     assert not confirmation.confirmed
-    confirmation.take(witnesses[2], announcing.WITNESS_LISTENED_MS, witnesses)
+    confirmation.record_answer(witnesses[2], announcing.WITNESS_MIN_LISTENED_MS, witnesses)
     assert confirmation.confirmed
 
 
@@ -201,17 +201,17 @@
 
 def test_a_sidecar_announces_itself_at_each_tick_until_its_upstream_is_listed():
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
-    assert announcer.due(False, 0)
-    assert not announcer.due(False, announcing.UNLISTED_EVERY_MS - 1)
-    assert announcer.due(False, announcing.UNLISTED_EVERY_MS)
-    assert not announcer.due(True, 2 * announcing.UNLISTED_EVERY_MS)
+    assert announcer.due_announcements(False, 0)
+    assert not announcer.due_announcements(False, announcing.ANNOUNCE_INTERVAL_MS - 1)
+    assert announcer.due_announcements(False, announcing.ANNOUNCE_INTERVAL_MS)
+    assert not announcer.due_announcements(True, 2 * announcing.ANNOUNCE_INTERVAL_MS)
 
 
 def test_a_sidecar_without_an_entry_for_long_is_silent():
     """Its upstream is gone for good, or the store can't hear it, and is to be taken as gone."""
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
-    sent = [now for now in range(0, 60_000, 200) if announcer.due(False, now)]
-    assert len(sent) == announcing.UNLISTED_FOR_MS // announcing.UNLISTED_EVERY_MS
+    sent = [now for now in range(0, 60_000, 200) if announcer.due_announcements(False, now)]
+    assert len(sent) == announcing.ANNOUNCE_UNLISTED_MS // announcing.ANNOUNCE_INTERVAL_MS
 
 
 def test_a_sidecar_that_is_gone_since_it_announced_itself_keeps_nobody_waiting():
@@ -229,7 +229,7 @@
     gone.alive = False
     view_begins(scene, scene.balancers)
     scene.ask(caller, b"again")
-    scene.run(announcing.SEED_LISTENED_MS + 250)
+    scene.run(announcing.SEED_MIN_LISTENED_MS + 250)
     assert caller.resets == 1
 
 
@@ -254,18 +254,18 @@
 def test_a_sidecar_that_others_may_read_from_offers_itself_once_a_second():
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
     announcer.relays = True
-    sent = [now for now in range(0, 5_000, 200) if announcer.due(True, now)]
+    sent = [now for now in range(0, 5_000, 200) if announcer.due_announcements(True, now)]
     assert sent == [0, 1_000, 2_000, 3_000, 4_000]
 
 
 def test_a_seed_names_at_most_as_many_sidecars_as_fit_into_a_datagram():
     scene = world.World(balancers=1)
     (seed,) = scene.balancers
-    for number in range(announcing.MOST_TOLD + 10):
+    for number in range(announcing.MAX_UNLISTED_PER_ANSWER + 10):
         source = (f"10.9.0.{number}", 7720)
         seed.core.on_message(messages.Announce(False, False), None, source, scene.now)
     (sent,) = seed.core.on_message(messages.AskUnlisted(), None, ("10.0.0.9", 1), scene.now)
-    assert len(sent.message.sidecars) == announcing.MOST_TOLD
+    assert len(sent.message.sidecars) == announcing.MAX_UNLISTED_PER_ANSWER
     assert len(carrying.pack(sent.message)) <= 1_200
 
 
@@ -278,10 +278,10 @@
     scene = world.World(balancers=2)
     seed, asker = scene.balancers
     seed_with(scene, seed)
-    for number in range(announcing.MOST_TOLD + 1):
+    for number in range(announcing.MAX_UNLISTED_PER_ANSWER + 1):
         source = (f"10.9.0.{number}", 7720)
         seed.core.on_message(messages.Announce(False, False), None, source, scene.now)
-    scene.run(announcing.SEED_LISTENED_MS)
+    scene.run(announcing.SEED_MIN_LISTENED_MS)
     view_begins(scene, [asker])
     (sent,) = seed.core.on_message(messages.AskUnlisted(), None, asker.address, scene.now)
     asker.core.on_message(sent.message, None, seed.address, scene.now)
--- a/tests/carrying/test_datagrams.py
+++ b/tests/carrying/test_datagrams.py
@@ -55,7 +55,7 @@
     strategies.builds(
         messages.AnswerUnlisted,
         POSITION,
-        strategies.lists(UNLISTED, max_size=announcing.MOST_TOLD).map(tuple),
+        strategies.lists(UNLISTED, max_size=announcing.MAX_UNLISTED_PER_ANSWER).map(tuple),
     ),
 )
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -444,7 +444,7 @@
     Mutation(
         "a seed that has just started confirms nothing",
         CORE + "carrying/announcing.py",
-        "if source in self.seeds and listening >= SEED_LISTENED_MS:",
+        "if source in self.seeds and listened_ms >= SEED_MIN_LISTENED_MS:",
         "if source in self.seeds:",
     ),
     Mutation(
@@ -456,7 +456,7 @@
     Mutation(
         "sidecars without an entry are asked",
         CORE + "carrying/balancer.py",
-        "announcing.note(balancer.fleet, address, now + announcing.ASKER_KEEPS_MS)",
+        "announcing.record_unlisted(balancer.fleet, address, now + announcing.ASKER_TTL_MS)",
         "pass",
     ),
     Mutation(
@@ -583,7 +583,7 @@
     Mutation(
         "witnesses agree",
         CORE + "carrying/announcing.py",
-        ">= WITNESSES_AGREED:",
+        ">= WITNESS_QUORUM:",
         ">= 1:",
     ),
     Mutation(
