--- a/benches/policy.py
+++ b/benches/policy.py
@@ -29,11 +29,11 @@
 
 CHOSEN = "power-of-two"
 POLICIES: dict[str, typing.Any] = {
-    "rendezvous": placement.KeepHome(),
-    "random": placement.Anywhere(),
+    "rendezvous": placement.KeepLocal(),
+    "random": placement.RandomUpstream(),
     "bounded-loads": placement.BoundedLoads(),
     CHOSEN: placement.PowerOfTwo(),
-    "least-of-all": placement.LeastOfAll(),
+    "least-of-all": placement.LeastLoaded(),
     "lexicographic": placement.Lexicographic(),
     "oracle": policy_model.Oracle(),
 }
@@ -146,8 +146,8 @@
     return {
         "chosen": chosen,
         "one_pass": dataclasses.replace(chosen, passes=1),
-        "no_fade": dataclasses.replace(chosen, policy=placement.PowerOfTwo(fade=0.0)),
-        "no_gap": dataclasses.replace(chosen, policy=placement.PowerOfTwo(gap=0.0)),
+        "no_fade": dataclasses.replace(chosen, policy=placement.PowerOfTwo(report_fade=0.0)),
+        "no_gap": dataclasses.replace(chosen, policy=placement.PowerOfTwo(work_gap=0.0)),
         "eight_candidates": dataclasses.replace(chosen, policy=placement.PowerOfTwo(8)),
         "own_sends_not_counted": dataclasses.replace(chosen, count_sent=False),
         "reports_each_second_only": dataclasses.replace(chosen, report_step=1 << 30),
@@ -181,7 +181,7 @@
 
 OVERLOAD_SETUPS = {
     "chosen": policy_model.Setup(placement.PowerOfTwo()),
-    "rendezvous": policy_model.Setup(placement.KeepHome()),
+    "rendezvous": policy_model.Setup(placement.KeepLocal()),
     "no_refusal": policy_model.Setup(placement.PowerOfTwo(), early=False),
     "deadline_order": policy_model.Setup(placement.PowerOfTwo(), order=limits.Order.DEADLINE),
 }
@@ -234,7 +234,7 @@
     changes += [policy_model.Change(int(lasted * 0.8), "recover", name) for name in third]
     setups = {
         "chosen": policy_model.Setup(placement.PowerOfTwo()),
-        "rendezvous": policy_model.Setup(placement.KeepHome()),
+        "rendezvous": policy_model.Setup(placement.KeepLocal()),
         "unbounded_repeats": policy_model.Setup(placement.PowerOfTwo(), budgets=False),
     }
     for name, setup in setups.items():
--- a/benches/policy_model.py
+++ b/benches/policy_model.py
@@ -182,8 +182,8 @@
         self.slots = site.slots
         self.limiter = limits.Limiter(limits.Limits(slots=site.slots, order=setup.order))
         self.table = load.LoadTable(setup.stale_after)
-        self.reporter = load.Reporter(least=setup.report_least, step=setup.report_step)
-        self.fresh = load.Fresh()
+        self.reporter = load.Reporter(min_gap_ms=setup.report_least, work_step=setup.report_step)
+        self.idle_flows = load.IdleFlows()
         self.ramp = load.Ramp(started, setup.ramp)
         self.flows = 0
         self.runs = 0
@@ -191,7 +191,7 @@
         self.slow = 1.0
         self.alive = True
         self.leaving = False
-        self.caution = load.Caution()
+        self.reported_load = load.ReportedLoad()
         self.waiting: dict[bytes, tuple[Asked, budget.Backoff]] = {}
 
     def observed(self, now: int) -> messages.LoadReport:
@@ -207,10 +207,10 @@
             flows=self.flows,
             running=running,
             queued=queued,
-            caution=self.caution.extra(running + queued, self.slots, now),
-            pending=self.fresh.count(now),
+            caution=self.reported_load.excess(running + queued, self.slots, now),
+            pending=self.idle_flows.count(now),
             latency=int(self.limiter.latency),
-            ramp=self.ramp.at(now),
+            ramp=self.ramp.share_at(now),
             leaving=self.leaving,
         )
 
@@ -319,7 +319,9 @@
             self.tally.opens += self.counted
         if isinstance(self.setup.policy, Oracle):
             open_to = [n for n in self.nodes.values() if n.alive and not n.leaving]
-            best = min(open_to, key=lambda n: (n.work + n.fresh.count(self.now) / n.slots, n.flows))
+            best = min(
+                open_to, key=lambda n: (n.work + n.idle_flows.count(self.now) / n.slots, n.flows)
+            )
             self.take(best, flow)
             return
         if not ranked:
@@ -346,7 +348,7 @@
             self.take(node, flow)
             return
         if self.setup.count_sent:
-            node.table.sent(chosen, now)
+            node.table.record_sent(chosen, now)
         self.tally.passed += self.counted
         self.at(now + HOP, self.arrive, self.nodes[chosen], flow, (*visited, node.name))
 
@@ -356,7 +358,7 @@
             self.tally.last_open_at_leaving = self.now
         flow.home = node
         node.flows += 1
-        node.fresh.open(flow.arrival.flow, self.now)
+        node.idle_flows.add(flow.arrival.flow, self.now)
         self.tell(node)
         self.ask_next(flow)
 
@@ -389,7 +391,7 @@
         if not node.alive:
             self.tally.ended_by_death += 1
             return
-        node.fresh.request(asked.flow.arrival.flow)
+        node.idle_flows.remove(asked.flow.arrival.flow)
         deadline = asked.deadline if self.setup.early else 1 << 60
         would_end = self.would_end(node, asked)
         verdict = node.limiter.admit(asked.key, self.site.name, deadline, self.now, self.chance)
@@ -467,10 +469,10 @@
 
     def tell(self, node: Node) -> None:
         """Send the node's load to its siblings if it is due."""
-        if not node.alive or not node.reporter.ready(self.now, node.leaving):
+        if not node.alive or not node.reporter.can_report(self.now, node.leaving):
             return
         told = node.observed(self.now)
-        if not node.reporter.due(told, self.now):
+        if not node.reporter.record_if_due(told, self.now):
             return
         for target in self.targets[node.name]:
             self.tally.reports += self.counted
@@ -478,7 +480,7 @@
 
     def hear(self, node: Node, told: messages.LoadReport) -> None:
         """Let a node take in a report."""
-        node.table.report(told, self.now)
+        node.table.record_report(told, self.now)
 
     def tick(self) -> None:
         """Let time pass for every node, as a daemon's timer does."""
@@ -537,7 +539,7 @@
 
     def lie(self, name: str) -> None:
         """Make an upstream claim to be overwhelmed, for ever."""
-        self.nodes[name].caution.claim(10**6, self.now)
+        self.nodes[name].reported_load.record_report(10**6, self.now)
 
     def recover(self, name: str) -> None:
         """End what `slow` began."""
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -65,7 +65,7 @@
         (incarnation,),
     )
     home.flows[flow.id] = flow
-    home.balance.fresh.open(flow.id, now)
+    home.balance.idle_flows.add(flow.id, now)
     home.trace("opened", flow.id, service=flow.service)
     return flow
 
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -80,7 +80,7 @@
     home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> None:
     """Process one part of a request."""
-    home.balance.fresh.request(flow.id)
+    home.balance.idle_flows.remove(flow.id)
     entry = home.ledger.get(flow.id, message.request)
     if entry is None:
         entry = begin(home, flow, message, now)
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -13,7 +13,7 @@
     """Return the load of the upstream beside this sidecar."""
     own = home.view.endpoints.get(home.key)
     zone = own.zone if own else ""
-    report = home.balance.report_of(
+    report = home.balance.make_report(
         home.name, home.incarnation, zone, home.slots, len(home.flows), now
     )
     return dataclasses.replace(
@@ -24,10 +24,10 @@
 def report(home: sidecar_state.SidecarState, now: int) -> None:
     """Tell the siblings the load if it is time to."""
     balance = home.balance
-    if not balance.receivers or not balance.reporter.ready(now, bool(home.leaving)):
+    if not balance.receivers or not balance.reporter.can_report(now, bool(home.leaving)):
         return
     own = own_load(home, now)
-    if balance.reporter.due(own, now):
+    if balance.reporter.record_if_due(own, now):
         home.emit(effects.SendLoad(balance.receivers, own))
 
 
@@ -45,12 +45,12 @@
         for each in balance.reporter.receivers(home.key, others):
             receivers[each.address] = None
     balance.receivers = tuple(receivers)
-    balance.table.keep(names)
+    balance.table.retain(names)
 
 
 def on_heard(home: sidecar_state.SidecarState, event: events.LoadHeard, now: int) -> None:
     """Take a sibling's report."""
-    home.balance.table.report(event.report, now)
+    home.balance.table.record_report(event.report, now)
 
 
 def on_health(home: sidecar_state.SidecarState, event: events.UpstreamHealth, now: int) -> None:
@@ -60,21 +60,23 @@
     requests show is better evidence. A new cold spell starts the ramp anew.
     """
     balance = home.balance
-    if event.cold and not balance.cold:
-        balance.ramp = load.Ramp(now, balance.policy.ramp)
-    balance.cold = event.cold
-    if not balance.suspicion.suspected(home.name):
+    if event.cold and not balance.is_cold:
+        balance.ramp = load.Ramp(now, balance.policy.ramp_ms)
+    balance.is_cold = event.cold
+    if not balance.suspicion.is_suspected(home.name):
         if not event.ok:
             note_result(home, False, now)
-    elif balance.suspicion.due_probes(now) and balance.suspicion.probed(home.name, event.ok, now):
+    elif balance.suspicion.due_probes(now) and balance.suspicion.record_probe(
+        home.name, event.ok, now
+    ):
         home.trace("trusted")
 
 
 def note_result(home: sidecar_state.SidecarState, good: bool, now: int) -> None:
     """Note how a request or a check of the upstream went."""
     if good:
-        home.balance.suspicion.succeeded(home.name, now)
-    elif home.balance.suspicion.failed(home.name, now):
+        home.balance.suspicion.record_success(home.name, now)
+    elif home.balance.suspicion.record_failure(home.name, now):
         home.trace("suspected")
 
 
@@ -83,9 +85,9 @@
     silent = [
         name
         for name, sibling in list(home.balance.table.siblings.items())
-        if now - sibling.received > home.balance.table.stale_after
+        if now - sibling.received_at > home.balance.table.stale_after_ms
     ]
-    own = [home.name] if home.balance.suspicion.suspected(home.name) else []
+    own = [home.name] if home.balance.suspicion.is_suspected(home.name) else []
     return tuple(own + sorted(silent))
 
 
@@ -101,11 +103,11 @@
     would wait. So it never comes back to one that has passed it on, and is passed a few times at
     most; the second and third pass mend what an old report got wrong.
     """
-    if len(forward.visited) >= home.balance.policy.passes or message.service not in home.serves:
+    if len(forward.visited) >= home.balance.policy.max_passes or message.service not in home.serves:
         return None
     choices = [u for u in home.siblings(message.service) if u.key not in forward.visited]
     name = placement.choose(
-        home.balance.policy.placing,
+        home.balance.policy.placement_policy,
         message.flow,
         own_load(home, now),
         home.balance.table,
@@ -115,7 +117,7 @@
     )
     if name is None:
         return None
-    home.balance.table.sent(name, now)
+    home.balance.table.record_sent(name, now)
     return next(u for u in choices if u.name == name)
 
 
@@ -129,15 +131,15 @@
     processes that leave at once, each adds at most the share that it would fill alone.
     """
     table = home.balance.table
-    standings = [
-        (standing.flows, standing.work, choice.name, choice)
+    candidates = [
+        (candidate.flows, candidate.work, choice.name, choice)
         for choice in choices
-        if (standing := table.standing(choice.name, now)) is not None
-        and standing.room
-        and not standing.suspected
+        if (candidate := table.candidate(choice.name, now)) is not None
+        and candidate.has_capacity
+        and not candidate.suspected
     ]
-    if not standings:
+    if not candidates:
         return None
-    chosen = min(standings, key=lambda s: s[:3])[3]
-    table.sent(chosen.name, now)
+    chosen = min(candidates, key=lambda s: s[:3])[3]
+    table.record_sent(chosen.name, now)
     return chosen
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -34,7 +34,7 @@
     limits: sidecar_state.Limits,
     randomness: rng.Rng,
     now: int,
-    policy: balance.Policy = balance.DEFAULT,
+    policy: balance.Policy = balance.DEFAULT_POLICY,
 ) -> sidecar_state.SidecarState:
     """Return the initial state of a sidecar."""
     return sidecar_state.SidecarState(name, incarnation, limits, randomness, now, policy)
@@ -156,7 +156,7 @@
 
 @on_event.register
 def _(event: events.UpstreamLoad, home, now):
-    home.balance.caution.claim(event.work, now)
+    home.balance.reported_load.record_report(event.work, now)
 
 
 @on_event.register
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -73,7 +73,7 @@
         limits: Limits,
         randomness: rng.Rng,
         now: int,
-        policy: balance.Policy = balance.DEFAULT,
+        policy: balance.Policy = balance.DEFAULT_POLICY,
     ):
         self.name = name
         self.key = view.key_of(name)
@@ -85,7 +85,7 @@
         self.flows: dict[bytes, flows.Flow] = {}
         self.ledger = ledger.Ledger(limits.ledger, limits.ledger_margin)
         self.slots = balance.make_limiter(policy, limits.slots, limits.queue)
-        self.balance = balance.Balance(policy, now)
+        self.balance = balance.LoadState(policy, now)
         self.sources: dict[str, FeedSource] = {}
         self.upload_bytes = 0
         self.leaving = ""
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -10,54 +10,57 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """How a sidecar distributes opens and limits its upstream. Times are in ms.
+    """How a sidecar distributes opens and limits its upstream.
 
-    Load reports go to `report_fanout` siblings every `report_every`, and after a change of work by
-    `report_step` as soon as `report_least` has passed since the last; a report older than
-    `stale_after` is ignored. An open is passed on at most `passes` times. A new upstream has its
-    whole weight after `ramp`.
+    Load reports go to `report_fanout` siblings every `report_interval_ms`, and after a change of
+    work by `report_work_step` as soon as `min_report_gap_ms` has passed since the last; a report
+    older than `stale_after_ms` is ignored. An open is passed on at most `max_passes` times. A new
+    upstream has its whole weight after `ramp_ms`.
     """
 
-    placing: placement.Policy = placement.PowerOfTwo()
-    passes: int = 3
+    placement_policy: placement.Policy = placement.PowerOfTwo()
+    max_passes: int = 3
     order: limits.Order = limits.Order.FIFO
     adaptive: bool = True
-    return_horizon: int = 10_000
-    report_every: int = 1000
-    report_least: int = 100
-    report_step: int = 2
+    max_retry_ms: int = 10_000
+    report_interval_ms: int = 1000
+    min_report_gap_ms: int = 100
+    report_work_step: int = 2
     report_fanout: int = 8
-    stale_after: int = 3000
-    ramp: int = 30_000
-    frozen_after: int = 30_000
-    suspecting: suspicion.Rules = suspicion.Rules()
+    stale_after_ms: int = 3000
+    ramp_ms: int = 30_000
+    reported_load_ttl_ms: int = 30_000
+    suspicion_rules: suspicion.Rules = suspicion.Rules()
 
 
-DEFAULT = Policy()
+DEFAULT_POLICY = Policy()
 
 
-class Balance:
+class LoadState:
     """What a sidecar knows of the load of its own upstream and of its siblings."""
 
     def __init__(self, policy: Policy, now: int):
         self.policy = policy
-        self.table = load.LoadTable(policy.stale_after)
+        self.table = load.LoadTable(policy.stale_after_ms)
         self.reporter = load.Reporter(
-            policy.report_every, policy.report_least, policy.report_step, policy.report_fanout
+            policy.report_interval_ms,
+            policy.min_report_gap_ms,
+            policy.report_work_step,
+            policy.report_fanout,
         )
         self.receivers: tuple[view.Address, ...] = ()
-        self.fresh = load.Fresh()
-        self.caution = load.Caution(policy.frozen_after)
-        self.ramp = load.Ramp(now, policy.ramp)
-        self.cold = False
-        self.suspicion = suspicion.Suspicion(policy.suspecting)
+        self.idle_flows = load.IdleFlows()
+        self.reported_load = load.ReportedLoad(policy.reported_load_ttl_ms)
+        self.ramp = load.Ramp(now, policy.ramp_ms)
+        self.is_cold = False
+        self.suspicion = suspicion.Suspicion(policy.suspicion_rules)
 
-    def ramp_at(self, name: str, now: int) -> int:
+    def ramp_share(self, name: str, now: int) -> int:
         """Return the upstream's share of its weight after a start, a cold phase or a suspicion."""
-        returned = self.suspicion.ramp(name, now, self.policy.ramp)
-        return min(self.ramp.at(now), returned)
+        returned = self.suspicion.ramp_share(name, now, self.policy.ramp_ms)
+        return min(self.ramp.share_at(now), returned)
 
-    def report_of(
+    def make_report(
         self, name: str, incarnation: int, zone: str, slots: limits.Limiter, flows: int, now: int
     ) -> messages.LoadReport:
         """Return the observed load; `connections` and `leaving` are left for the caller to set."""
@@ -72,15 +75,15 @@
             flows=flows,
             running=running,
             queued=queued,
-            pending=self.fresh.count(now),
-            caution=self.caution.extra(running + queued, slots.limits.slots, now),
+            pending=self.idle_flows.count(now),
+            caution=self.reported_load.excess(running + queued, slots.limits.slots, now),
             latency=int(slots.latency),
-            ramp=self.ramp_at(name, now),
-            suspected=self.suspicion.suspected(name),
+            ramp=self.ramp_share(name, now),
+            suspected=self.suspicion.is_suspected(name),
         )
 
 
 def make_limiter(policy: Policy, slots: int, queue: int) -> limits.Limiter:
     """Return the limiter of an upstream that runs no requests yet."""
     bounds = limits.Limits(slots, queue, policy.order, policy.adaptive)
-    return limits.Limiter(dataclasses.replace(bounds, return_horizon=policy.return_horizon))
+    return limits.Limiter(dataclasses.replace(bounds, return_horizon=policy.max_retry_ms))
--- a/src/ebonystile/core/placing/load.py
+++ b/src/ebonystile/core/placing/load.py
@@ -16,37 +16,37 @@
 from ebonystile.core import view
 from ebonystile.peer import messages
 
-FLIGHT = 20
+IN_FLIGHT_MS = 20
 """Opens sent within this time (ms) before a report arrived are assumed to be missing from it."""
 
 MAX_SIBLINGS = 256
 """Siblings kept in a table; reports of further ones are dropped."""
 
-MAX_SENT = 1024
+MAX_RECENT_SENDS = 1024
 """Opens remembered as sent to one sibling."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class Candidate:
     """The load of an upstream, as compared with others, if it were given one more flow.
 
     `work` is requests per slot and `flows` is flows per slot, both with the new flow counted in;
-    `age` is the age of the report (ms).
+    `age_ms` is the age of the report (ms).
     """
 
     name: str
     zone: str
     work: float
     flows: float
-    latency: int
-    room: bool
+    latency_ms: int
+    has_capacity: bool
     suspected: bool
-    age: int = 0
+    age_ms: int = 0
 
 
-def standing(load: messages.LoadReport, sent: int = 0, age: int = 0) -> Standing:
+def make_candidate(load: messages.LoadReport, sent: int = 0, age_ms: int = 0) -> Candidate:
     """Return the load as it compares with others, with `sent` more opens counted in."""
-    return Standing(
+    return Candidate(
         load.name,
         load.zone,
         (load.work + sent + 1) / load.weight,
@@ -54,7 +54,7 @@
         load.latency,
         load.flows + sent < load.connections and not load.leaving,
         load.suspected,
-        age,
+        age_ms,
     )
 
 
@@ -63,8 +63,8 @@
     """A sibling's last report, its time of arrival, and the times of the opens sent since then."""
 
     load: messages.LoadReport
-    received: int
-    sent: collections.deque[int]
+    received_at: int
+    sent_at: collections.deque[int]
 
 
 class LoadTable:
@@ -76,53 +76,55 @@
     how many all sidecars send together.
     """
 
-    def __init__(self, stale_after: int = 3000, limit: int = MAX_SIBLINGS):
-        self.stale_after = stale_after
+    def __init__(self, stale_after_ms: int = 3000, limit: int = MAX_SIBLINGS):
+        self.stale_after_ms = stale_after_ms
         self.limit = limit
         self.siblings: dict[str, Sibling] = {}
 
-    def report(self, load: messages.LoadReport, now: int) -> bool:
+    def record_report(self, load: messages.LoadReport, now: int) -> bool:
         """Store a sibling's report; return whether it is newer than the stored one.
 
         A report that arrives after a later one of the same incarnation is dropped, so that a
         delayed datagram cannot make a busy sibling look idle.
         """
-        known = self.siblings.get(load.name)
-        if known is None:
+        sibling = self.siblings.get(load.name)
+        if sibling is None:
             if len(self.siblings) >= self.limit:
                 return False
-            self.siblings[load.name] = Sibling(load, now, collections.deque(maxlen=MAX_SENT))
+            self.siblings[load.name] = Sibling(
+                load, now, collections.deque(maxlen=MAX_RECENT_SENDS)
+            )
             return True
-        if known.load.incarnation == load.incarnation and load.at <= known.load.at:
+        if sibling.load.incarnation == load.incarnation and load.at <= sibling.load.at:
             return False
-        while known.sent and known.sent[0] < now - FLIGHT:
-            known.sent.popleft()
-        known.load = load
-        known.received = now
+        while sibling.sent_at and sibling.sent_at[0] < now - IN_FLIGHT_MS:
+            sibling.sent_at.popleft()
+        sibling.load = load
+        sibling.received_at = now
         return True
 
-    def sent(self, name: str, now: int) -> None:
+    def record_sent(self, name: str, now: int) -> None:
         """Record an open that was passed to the sibling."""
         if name in self.siblings:
-            self.siblings[name].sent.append(now)
+            self.siblings[name].sent_at.append(now)
 
-    def standing(self, name: str, now: int) -> Standing | None:
+    def candidate(self, name: str, now: int) -> Candidate | None:
         """Return the sibling's load, or None if it is unknown or its report is too old.
 
-        A report is valid for `stale_after` ms only: a frozen sidecar would otherwise keep looking
+        A report is valid for `stale_after_ms` only: a frozen sidecar would otherwise keep looking
         as idle as in its last report.
         """
-        known = self.siblings.get(name)
-        if known is None or now - known.received > self.stale_after:
+        sibling = self.siblings.get(name)
+        if sibling is None or now - sibling.received_at > self.stale_after_ms:
             return None
-        return standing(known.load, len(known.sent), now - known.received)
+        return make_candidate(sibling.load, len(sibling.sent_at), now - sibling.received_at)
 
-    def known_leaving(self, name: str) -> bool:
+    def is_leaving(self, name: str) -> bool:
         """Return whether the sibling's last report says that it is leaving."""
-        known = self.siblings.get(name)
-        return known is not None and known.load.leaving
+        sibling = self.siblings.get(name)
+        return sibling is not None and sibling.load.leaving
 
-    def keep(self, names: typing.Container[str]) -> None:
+    def retain(self, names: typing.Container[str]) -> None:
         """Remove every sibling that is not in `names`."""
         self.siblings = {n: s for n, s in self.siblings.items() if n in names}
 
@@ -130,31 +132,38 @@
 class Reporter:
     """Decide when a sidecar reports its load, and to which siblings.
 
-    A report is due at least every `every` ms. Where requests are shorter than that, a report of
-    that age no longer shows which siblings are busy, so a change of work by `step` is reported
-    earlier, but no sooner than `least` ms after the last report, which bounds the control traffic.
+    A report is due at least every `interval_ms`. Where requests are shorter than that, a report of
+    that age does not show which siblings are busy now, so a change of work by `work_step` is
+    reported earlier, but no sooner than `min_gap_ms` after the last report, which bounds the
+    control traffic.
     """
 
-    def __init__(self, every: int = 1000, least: int = 100, step: int = 2, fanout: int = 8):
-        self.every = every
-        self.least = least
-        self.step = step
+    def __init__(
+        self, interval_ms: int = 1000, min_gap_ms: int = 100, work_step: int = 2, fanout: int = 8
+    ):
+        self.interval_ms = interval_ms
+        self.min_gap_ms = min_gap_ms
+        self.work_step = work_step
         self.fanout = fanout
         self.last: messages.LoadReport | None = None
 
-    def ready(self, now: int, leaving: bool) -> bool:
+    def can_report(self, now: int, leaving: bool) -> bool:
         """Return whether a report can be due, which avoids computing the load if it cannot."""
         last = self.last
-        return last is None or now - last.at >= self.least or leaving != last.leaving
+        return last is None or now - last.at >= self.min_gap_ms or leaving != last.leaving
 
-    def due(self, load: messages.LoadReport, now: int) -> bool:
+    def record_if_due(self, load: messages.LoadReport, now: int) -> bool:
         """Return whether `load` is to be reported now; if so, record it as the last report."""
         last = self.last
         if last is not None:
             waited = now - last.at
-            turned = (load.leaving, load.suspected) != (last.leaving, last.suspected)
-            changed = abs(load.work - last.work) >= self.step
-            if not (turned or waited >= self.every or (changed and waited >= self.least)):
+            state_changed = (load.leaving, load.suspected) != (last.leaving, last.suspected)
+            work_changed = abs(load.work - last.work) >= self.work_step
+            if not (
+                state_changed
+                or waited >= self.interval_ms
+                or (work_changed and waited >= self.min_gap_ms)
+            ):
                 return False
         self.last = dataclasses.replace(load, at=now)
         return True
@@ -171,27 +180,27 @@
         ring = sorted((s for s in siblings if s.key != own_key), key=lambda s: s.key)
         if len(ring) <= self.fanout:
             return ring
-        place = sum(1 for s in ring if s.key < own_key)
+        position = sum(1 for s in ring if s.key < own_key)
         size = len(ring) + 1
         doubling = [1 << i for i in range(self.fanout) if 1 << i < size]
-        steps = dict.fromkeys([*doubling, *range(1, size)])
-        return [ring[(place + s - 1) % len(ring)] for s in list(steps)[: self.fanout]]
+        offsets = dict.fromkeys([*doubling, *range(1, size)])
+        return [ring[(position + s - 1) % len(ring)] for s in list(offsets)[: self.fanout]]
 
 
-class Fresh:
-    """Count the flows opened within the last `window` ms that have sent no request yet."""
+class IdleFlows:
+    """Count the flows opened within the last `window_ms` that have sent no request yet."""
 
-    def __init__(self, window: int = 200, limit: int = 4096):
-        self.window = window
+    def __init__(self, window_ms: int = 200, limit: int = 4096):
+        self.window_ms = window_ms
         self.limit = limit
         self.opened: dict[bytes, int] = {}
 
-    def open(self, flow: bytes, now: int) -> None:
+    def add(self, flow: bytes, now: int) -> None:
         """Add a flow that was just opened."""
         if len(self.opened) < self.limit:
             self.opened.setdefault(flow, now)
 
-    def request(self, flow: bytes) -> None:
+    def remove(self, flow: bytes) -> None:
         """Remove a flow that has sent a request; the request itself counts as work from now on."""
         self.opened.pop(flow, None)
 
@@ -199,50 +208,56 @@
         """Return the number of flows in the window, after removing those that have left it."""
         while self.opened:
             flow, at = next(iter(self.opened.items()))
-            if now - at <= self.window:
+            if now - at <= self.window_ms:
                 break
             del self.opened[flow]
         return len(self.opened)
 
 
-class Caution:
+class ReportedLoad:
     """Let the load that an upstream reports for itself raise, but never lower, the observed load.
 
     An upstream that reports itself idle gets no additional work. One that reports itself busy
     counts as busier than observed, by at most its slots, so a wrong report can only reduce its own
-    share. A value that has not changed for `frozen_after` ms is ignored, so that one stuck reading
+    share. A value that has not changed for `stale_after_ms` is ignored, so that one stuck reading
     cannot starve an upstream for good.
     """
 
-    def __init__(self, frozen_after: int = 30_000):
-        self.frozen_after = frozen_after
-        self.claimed = 0
+    def __init__(self, stale_after_ms: int = 30_000):
+        self.stale_after_ms = stale_after_ms
+        self.reported = 0
         self.changed_at: int | None = None
 
-    def claim(self, work: int, now: int) -> None:
+    def record_report(self, work: int, now: int) -> None:
         """Set the number of requests that the upstream reports."""
-        if self.changed_at is None or work != self.claimed:
-            self.claimed = work
+        if self.changed_at is None or work != self.reported:
+            self.reported = work
             self.changed_at = now
 
-    def extra(self, observed: int, slots: int, now: int) -> int:
+    def excess(self, observed: int, slots: int, now: int) -> int:
         """Return the number of requests to add to the observed ones."""
-        if self.changed_at is None or now - self.changed_at > self.frozen_after:
+        if self.changed_at is None or now - self.changed_at > self.stale_after_ms:
             return 0
-        return max(0, min(self.claimed - observed, slots))
+        return max(0, min(self.reported - observed, slots))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ramp:
-    """Slow start: the weight grows linearly from `start` at `since` to the whole in `length` ms."""
+    """The weight of an upstream in slow start: linear from `initial_share` at `since` to the whole.
+
+    `initial_share` is in thousandths; the whole weight is reached after `duration_ms`.
+    """
 
     since: int
-    length: int = 30_000
-    start: int = 250
+    duration_ms: int = 30_000
+    initial_share: int = 250
 
-    def at(self, now: int) -> int:
+    def share_at(self, now: int) -> int:
         """Return the share of the weight at `now`, in thousandths."""
-        if self.length <= 0 or now >= self.since + self.length:
+        if self.duration_ms <= 0 or now >= self.since + self.duration_ms:
             return messages.FULL_RAMP
-        passed = max(0, now - self.since)
-        return self.start + (messages.FULL_RAMP - self.start) * passed // self.length
+        elapsed_ms = max(0, now - self.since)
+        return (
+            self.initial_share
+            + (messages.FULL_RAMP - self.initial_share) * elapsed_ms // self.duration_ms
+        )
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -159,7 +159,7 @@
     held.gauge(
         "suspected",
         "1 while the upstream is suspected.",
-        lambda: core.balance.suspicion.suspected(core.name),
+        lambda: core.balance.suspicion.is_suspected(core.name),
     )
     held.gauge("ledger", "Requests remembered.", lambda: len(core.ledger.entries))
     held.gauge("leaving", "1 while the process takes no new work.", lambda: bool(core.leaving))
--- a/src/ebonystile/daemon/tuning.py
+++ b/src/ebonystile/daemon/tuning.py
@@ -8,22 +8,22 @@
 def make_policy(config: settings.SpreadingSettings) -> balance.Policy:
     """Return a sidecar's policy."""
     return balance.Policy(
-        placing=make_placement(config),
-        passes=config.passes,
+        placement_policy=make_placement(config),
+        max_passes=config.passes,
         order=limits.Order(config.queue_order),
         adaptive=config.when_shed == "shrink",
-        return_horizon=config.return_horizon_ms,
-        report_every=config.report_ms,
-        report_least=config.report_least_ms,
-        report_step=config.report_step,
+        max_retry_ms=config.return_horizon_ms,
+        report_interval_ms=config.report_ms,
+        min_report_gap_ms=config.report_least_ms,
+        report_work_step=config.report_step,
         report_fanout=config.report_fanout,
-        stale_after=config.stale_after_ms,
-        ramp=config.ramp_ms,
-        frozen_after=config.claim_frozen_ms,
-        suspecting=suspicion.Rules(
+        stale_after_ms=config.stale_after_ms,
+        ramp_ms=config.ramp_ms,
+        reported_load_ttl_ms=config.claim_frozen_ms,
+        suspicion_rules=suspicion.Rules(
             failures=config.suspect_failures,
-            hold=config.suspect_hold_ms,
-            longest=max(config.suspect_hold_ms, config.suspect_longest_ms),
+            hold_ms=config.suspect_hold_ms,
+            max_hold_ms=max(config.suspect_hold_ms, config.suspect_longest_ms),
         ),
     )
 
@@ -35,9 +35,9 @@
             config.candidates, config.work_gap, config.flow_gap, config.report_fade
         )
     others: dict[str, placement.Policy] = {
-        "rendezvous": placement.KeepHome(),
+        "rendezvous": placement.KeepLocal(),
         "bounded-loads": placement.BoundedLoads(),
-        "least-of-all": placement.LeastOfAll(),
+        "least-of-all": placement.LeastLoaded(),
         "lexicographic": placement.Lexicographic(),
     }
     return others[config.placement]
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -92,9 +92,9 @@
     Mutation(
         "ledger lookup for a repeat",
         CORE + "calls/requests.py",
-        "    home.balance.fresh.request(flow.id)\n"
+        "    home.balance.idle_flows.remove(flow.id)\n"
         "    entry = home.ledger.get(flow.id, message.request)\n",
-        "    home.balance.fresh.request(flow.id)\n"
+        "    home.balance.idle_flows.remove(flow.id)\n"
         "    entry = home.ledger.get(flow.id, message.request)\n"
         "    if entry is not None and entry.state in ledger.FINAL:\n"
         "        entry = None\n",
--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -17,5 +17,5 @@
 def table_of(*loads, now=0):
     table = load.LoadTable()
     for each in loads:
-        table.report(each, now)
+        table.record_report(each, now)
     return table
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,20 +8,20 @@
 from tests import policy_helpers as given
 
 POLICIES = [
-    placement.KeepHome(),
-    placement.Anywhere(),
+    placement.KeepLocal(),
+    placement.RandomUpstream(),
     placement.BoundedLoads(),
     placement.PowerOfTwo(),
-    placement.LeastOfAll(),
+    placement.LeastLoaded(),
     placement.Lexicographic(),
 ]
 
 
 def choose(own, loads, *, policy=None, count=3, now=0, table=None, flow=b"f" * 16, zone="z"):
     table = table or given.table_of(*loads)
-    chance = random.Random(7)
+    randomness = random.Random(7)
     policy = policy or placement.PowerOfTwo()
-    return placement.choose(policy, flow, own, table, given.endpoints(count, zone), now, chance)
+    return placement.choose(policy, flow, own, table, given.endpoints(count, zone), now, randomness)
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,9 @@
 def test_suspected_sibling_is_left_out_while_others_are_not():
     loads = [given.load_of("u0", suspected=True), given.load_of("u1"), given.load_of("u2")]
     chosen = {
-        choose(given.load_of(running=9), loads, policy=placement.Anywhere(), flow=bytes([i]) * 16)
+        choose(
+            given.load_of(running=9), loads, policy=placement.RandomUpstream(), flow=bytes([i]) * 16
+        )
         for i in range(3)
     }
     assert "u0" not in chosen
@@ -92,7 +94,7 @@
 
 def herd(count_sends):
     """Return the most opens that the one idle of 7 gets from its siblings on one stale table."""
-    chance = random.Random(1)
+    randomness = random.Random(1)
     service = given.endpoints(7)
     loads = [given.load_of(e.name, running=0 if e.name == "u0" else 4) for e in service]
     tables = {e.name: given.table_of(*loads) for e in service[1:]}
@@ -102,10 +104,10 @@
         own = given.load_of(me, running=4)
         others = [e for e in service if e.name != me]
         flow = i.to_bytes(16, "big")
-        to = placement.choose(placement.PowerOfTwo(), flow, own, tables[me], others, 10, chance)
+        to = placement.choose(placement.PowerOfTwo(), flow, own, tables[me], others, 10, randomness)
         sent += to == "u0"
         if to and count_sends:
-            tables[me].sent(to, 10)
+            tables[me].record_sent(to, 10)
     return sent
 
 
@@ -134,6 +136,6 @@
 
 
 def test_unknown_policy_is_an_error():
-    scene = placement.Scene(b"", load.standing(given.load_of()), "z", [], [])
+    choice = placement.Choice(b"", load.make_candidate(given.load_of()), "z", [], [])
     with pytest.raises(TypeError):
-        placement.decide(object(), scene, random.Random(1))
+        placement.decide(object(), choice, random.Random(1))
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -60,10 +60,10 @@
     busy(wire, *wire.homes.values())
     wire.judge = lambda source, target, kind: [] if kind == "LoadReport" else [1]
     for home in wire.homes.values():
-        home.core.balance.policy = balance.Policy(passes=passes)
+        home.core.balance.policy = balance.Policy(max_passes=passes)
         for other in wire.homes.values():
             idle = messages.LoadReport(other.name, 1, wires.ZONE, wire.now, 8, 9)
-            home.core.balance.table.report(idle, wire.now)
+            home.core.balance.table.record_report(idle, wire.now)
     callers = [wire.add_caller() for _ in range(6)]
     wire.run(100)
     assert all(c.token for c in callers)
@@ -111,13 +111,13 @@
         caller = wire.add_caller()
         caller.request("p", b"", wire.now + 5 * SECOND, True, wire.now)
     wire.run(SECOND)
-    assert bad.core.balance.suspicion.suspected(bad.name)
+    assert bad.core.balance.suspicion.is_suspected(bad.name)
     callers = open_flows(wire, 15)
     assert holders(wire, callers)[bad.name] == 0
     for _ in range(2):
         wire.post(bad, events.UpstreamHealth(True))
-    assert not bad.core.balance.suspicion.suspected(bad.name)
-    assert bad.core.balance.ramp_at(bad.name, wire.now) == 250
+    assert not bad.core.balance.suspicion.is_suspected(bad.name)
+    assert bad.core.balance.ramp_share(bad.name, wire.now) == 250
 
 
 def test_all_upstreams_suspected_still_serve():
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -5,33 +5,33 @@
 from ebonystile.core.placing import suspicion
 from ebonystile.peer import messages
 
-RULES = suspicion.Rules(hold=2000, probes=2, probe_timeout=1000, returns=2)
+RULES = suspicion.Rules(hold_ms=2000, max_probes=2, probe_timeout_ms=1000, successes_to_return=2)
 
 
 def suspect(*names, now=0, tracker=None):
     tracker = tracker or suspicion.Suspicion(RULES)
     for name in names:
         for _ in range(RULES.failures):
-            tracker.failed(name, now)
+            tracker.record_failure(name, now)
     return tracker
 
 
 def test_three_failures_in_a_row_suspect_and_a_success_between_does_not():
     tracker = suspicion.Suspicion(RULES)
     for good in (False, False, True, False, False):
-        (tracker.succeeded if good else tracker.failed)("a", 0)
-    assert not tracker.suspected("a")
-    assert tracker.failed("a", 0)
-    assert tracker.suspected("a")
+        (tracker.record_success if good else tracker.record_failure)("a", 0)
+    assert not tracker.is_suspected("a")
+    assert tracker.record_failure("a", 0)
+    assert tracker.is_suspected("a")
 
 
 def test_half_of_the_results_bad_suspect():
     tracker = suspicion.Suspicion(RULES)
     for i in range(20):
-        (tracker.succeeded if i % 2 else tracker.failed)("a", 0)
-    assert not tracker.suspected("a")
-    tracker.failed("a", 0)
-    assert tracker.suspected("a")
+        (tracker.record_success if i % 2 else tracker.record_failure)("a", 0)
+    assert not tracker.is_suspected("a")
+    tracker.record_failure("a", 0)
+    assert tracker.is_suspected("a")
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
     assert tracker.due_probes(1999) == []
     assert tracker.due_probes(2000) == ["a", "b"]
     assert tracker.due_probes(2500) == []
-    assert not tracker.probed("a", True, 2500)
+    assert not tracker.record_probe("a", True, 2500)
     assert len(tracker.due_probes(2500)) == 1
 
 
@@ -64,18 +64,18 @@
 
 
 def returned(tracker, name, now):
-    for _ in range(RULES.returns):
+    for _ in range(RULES.successes_to_return):
         assert tracker.due_probes(now) == [name]
-        tracker.probed(name, True, now)
+        tracker.record_probe(name, True, now)
 
 
 def test_two_good_probes_end_it_and_start_a_ramp():
     tracker = suspect("a")
     returned(tracker, "a", 2000)
-    assert not tracker.suspected("a")
-    assert tracker.ramp("a", 2000, 10_000) == 250
-    assert tracker.ramp("a", 12_000, 10_000) == messages.FULL_RAMP
-    assert tracker.ramp("never", 0, 10_000) == messages.FULL_RAMP
+    assert not tracker.is_suspected("a")
+    assert tracker.ramp_share("a", 2000, 10_000) == 250
+    assert tracker.ramp_share("a", 12_000, 10_000) == messages.FULL_RAMP
+    assert tracker.ramp_share("never", 0, 10_000) == messages.FULL_RAMP
 
 
 def test_flapping_peer_is_left_alone_for_longer_each_time():
@@ -97,16 +97,16 @@
 def test_calm_forgives():
     tracker = suspect("a")
     returned(tracker, "a", 2000)
-    tracker.succeeded("a", 100_000)
+    tracker.record_success("a", 100_000)
     assert "a" in tracker.peers
-    tracker.succeeded("a", 2000 + 2 * RULES.calm + 1)
+    tracker.record_success("a", 2000 + 2 * RULES.forgive_after_ms + 1)
     assert tracker.peers == {}
 
 
 def test_state_is_bounded():
     tracker = suspicion.Suspicion(RULES)
     for i in range(suspicion.MAX_PEERS + 10):
-        tracker.failed(f"p{i}", 0)
+        tracker.record_failure(f"p{i}", 0)
     assert len(tracker.peers) == suspicion.MAX_PEERS
-    tracker.keep({"p1"})
+    tracker.retain({"p1"})
     assert list(tracker.peers) == ["p1"]
--- a/tests/test_tuning.py
+++ b/tests/test_tuning.py
@@ -11,22 +11,22 @@
 
 
 def test_defaults_of_settings_and_cores_agree():
-    assert tuning.make_policy(settings.SpreadingSettings()) == balance.DEFAULT
+    assert tuning.make_policy(settings.SpreadingSettings()) == balance.DEFAULT_POLICY
 
 
 @pytest.mark.parametrize(
     ("name", "kind"),
     [
         ("power-of-two", placement.PowerOfTwo),
-        ("rendezvous", placement.KeepHome),
+        ("rendezvous", placement.KeepLocal),
         ("bounded-loads", placement.BoundedLoads),
-        ("least-of-all", placement.LeastOfAll),
+        ("least-of-all", placement.LeastLoaded),
         ("lexicographic", placement.Lexicographic),
     ],
 )
 def test_placement_by_name(name, kind):
     made = tuning.make_policy(settings.SpreadingSettings(placement=name))
-    assert type(made.placing) is kind
+    assert type(made.placement_policy) is kind
 
 
 def test_values_reach_the_core():
@@ -35,8 +35,8 @@
     )
     made = tuning.make_policy(config)
     assert (made.order, made.adaptive) == (limits.Order.DEADLINE, False)
-    assert made.placing.gap == 2
-    assert made.suspecting.longest == 200_000
+    assert made.placement_policy.work_gap == 2
+    assert made.suspicion_rules.max_hold_ms == 200_000
 
 
 def test_gate():
