--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -33,7 +33,7 @@
             self.feed.sources.seeds,
             is_seed=settings.is_seed,
         )
-        self.core.current = self.feed.current
+        self.core.route_table = self.feed.route_table
         self.core.fleet = self.feed.fleet
         address = entries.address_of(settings.packets)
         self.caller_socket = self.loop.listen(address, self.on_caller, shell.BUFFER_BYTES)
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -41,7 +41,7 @@
         self.clients: dict[sourcing.Source, calls.Client] = {}
         self.relay = relay.StoreRelay(event_loop, settings.internal, self.is_direct)
         self.call: reading.Call | None = None
-        self.current = routes.Current()
+        self.route_table = routes.RouteTable()
         self.fleet = fleet.Fleet()
         self.fleet.regions = settings.regions
         self.revisions: dict[str, int] = {}
@@ -87,7 +87,7 @@
 
     def version(self) -> int:
         """Return the version of the configuration in force."""
-        return self.current.routes.version
+        return self.route_table.routes.version
 
     def is_direct(self) -> bool:
         """Return whether the store itself is being read and the view is current."""
@@ -95,16 +95,16 @@
 
     def schedule_read(self, version: int) -> None:
         """Schedule a read in case the watch does not deliver a peer's newer version in time."""
-        if version <= max(self.wanted_version, self.current.routes.version):
+        if version <= max(self.wanted_version, self.route_table.routes.version):
             return
         self.wanted_version = version
         self.event_loop.at(clock.now() + CATCH_UP_DELAY_MS, lambda: self.read_if_behind(version))
 
     def read_if_behind(self, version: int) -> None:
         """Read all lists again unless the configuration has arrived meanwhile."""
-        if version <= self.current.routes.version:
+        if version <= self.route_table.routes.version:
             return
-        self.log.event("behind", version=self.current.routes.version, shown=version)
+        self.log.event("behind", version=self.route_table.routes.version, shown=version)
         if self.call is not None and self.call.kind is not reading.Kind.WATCH:
             return
         self.cancel_call()
@@ -249,7 +249,7 @@
             self.counts["malformed"] += 1
             self.log.event("configuration_refused", revision=item.revision, reason=str(error))
             return
-        if self.current.replace(newer):
+        if self.route_table.replace(newer):
             self.log.event(
                 "configured",
                 version=newer.version,
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -28,7 +28,7 @@
             self.feed.sources.seeds,
             zone=settings.zone,
         )
-        self.core.current = self.feed.current
+        self.core.route_table = self.feed.route_table
         self.core.fleet = self.feed.fleet
         self.upstream = entries.address_of(settings.upstream)
         self.outbound = self.loop.listen(
--- a/src/ebonystile/core/carrying/asking.py
+++ b/src/ebonystile/core/carrying/asking.py
@@ -41,7 +41,7 @@
         for upstream in found.next_wave(now):
             questions.setdefault(upstream.address, []).append((found.flow, acknowledged))
         known.wait(found, found.due)
-    version = known.current.routes.version
+    version = known.route_table.routes.version
     return [
         effects.Send(
             address,
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -55,7 +55,7 @@
         home = self.homes.get(received.flow)
         if home is None or received.opens:
             return self.begin(received, home, now)
-        if self.current.routes.find(received.flow) is None:
+        if self.route_table.routes.find(received.flow) is None:
             return self.without_route(received)
         if not self.fleet.is_listed(home.upstream) and now >= home.checked_until:
             return self.begin(received, home, now)
@@ -65,14 +65,14 @@
     def without_route(self, received: packet.Packet) -> list[effects.Effect]:
         """Reset a flow without a route, or drop the packet while the configuration may be stale."""
         self.homes.pop(received.flow, None)
-        if received.aborts or not self.view_fresh or not self.current.routes.version:
+        if received.aborts or not self.view_fresh or not self.route_table.routes.version:
             return []
         return [
             effects.trace(
                 "flow_reset",
                 flow=packet.flow_text(received.flow),
                 reason="no_route",
-                version=self.current.routes.version,
+                version=self.route_table.routes.version,
             ),
             effects.Reset(received.flow, received.acknowledged),
         ]
@@ -81,7 +81,7 @@
         self, received: packet.Packet, home: balancer_state.Home | None, now: int
     ) -> list[effects.Effect]:
         """Begin a search for the upstream of a flow."""
-        route = self.current.routes.find(received.flow)
+        route = self.route_table.routes.find(received.flow)
         if route is None:
             return self.without_route(received)
         if len(self.searches) >= MAX_SEARCHES:
@@ -192,13 +192,13 @@
         known = list(self.fleet.by_address)
         if not self.unreachable(now) or not known:
             return []
-        question = messages.Ask(NO_FLOW, self.current.routes.version)
+        question = messages.Ask(NO_FLOW, self.route_table.routes.version)
         return [effects.Send(known[now // PROBE_MS % len(known)], question)]
 
     def sweep(self, now: int) -> None:
         """Drop the flows that have been idle for too long."""
         self.sweep_at = now + SWEEP_MS
-        idle = self.current.routes.idle
+        idle = self.route_table.routes.idle_timeout_ms
         if len(self.homes) > MAX_HOMES:
             idle = idle // 4
         self.homes = {f: h for f, h in self.homes.items() if now - h.seen_at < idle}
@@ -272,7 +272,7 @@
 
 @act.register
 def _(message: messages.Answer, balancer, received, source, now):
-    todo = effects.make_reread(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     found = balancer.searches.get(message.flow)
     if found is None:
         return todo
@@ -313,7 +313,7 @@
 
 @act.register
 def _(message: messages.AnswerMany, balancer, received, source, now):
-    todo = effects.make_reread(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     answers = {
         holding: messages.Answer(NO_FLOW, message.version, holding, message.load, message.revision)
         for holding in messages.FlowStatus
@@ -331,7 +331,7 @@
 
 @act.register
 def _(message: messages.Return, balancer, received, source, now):
-    todo = effects.make_reread(message.version, balancer.current.routes.version)
+    todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     home = balancer.homes.get(received.flow)
     if home is not None and home.upstream.address == source:
         del balancer.homes[received.flow]
--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -65,7 +65,7 @@
         self.confirmation = announcing.ListConfirmation(seeds, is_seed, now)
         self.placed: collections.deque[tuple[int, view.Address]] = collections.deque()
         self.pending: dict[packet.Flow, packet.Packet] = {}
-        self.current = routes.Current()
+        self.route_table = routes.RouteTable()
         self.fleet = fleet.Fleet()
         self.homes: dict[packet.Flow, Home] = {}
         self.searches: dict[packet.Flow, flow_search.Search] = {}
@@ -186,7 +186,7 @@
         self.wait(found, found.due)
         if self.unheard_since is None:
             self.unheard_since = now
-        version = self.current.routes.version
+        version = self.route_table.routes.version
         acknowledged = 0 if found.opening else found.packets[0].acknowledged
         question = messages.Ask(found.flow, version, acknowledged)
         return [effects.Send(u.address, question) for u in wave]
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -49,7 +49,7 @@
 ) -> flow_search.Search:
     """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
-    names = known.current.services_of(flow)
+    names = known.route_table.services_of(flow)
     likely = [
         u for name in names for u in placing.order(flow, known.fleet.upstreams_of(name), known.zone)
     ]
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -34,7 +34,7 @@
     known: balancer_state.State, received: packet.Packet, service: str, now: int
 ) -> flow_search.Search:
     """Return a search for an upstream that accepts a new flow."""
-    willing = known.fleet.accepting(service, known.current.routes.regions_of(received.flow))
+    willing = known.fleet.accepting(service, known.route_table.routes.regions_of(received.flow))
     heard = [u for u in willing if u.address not in known.silence]
     near, far = placing.split(heard or willing, known.zone)
     flow = received.flow
@@ -139,7 +139,7 @@
     if chosen is not None:
         known.note_placed(upstream, now)
     key = view.key_of(found.service)
-    version = known.current.routes.version
+    version = known.route_table.routes.version
     opening = messages.Open(key, version, found.packets[-1].raw)
     return [
         effects.trace(
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -27,7 +27,7 @@
     that, and probing all upstreams for all flows would delay the flows that exist.
     """
     # A probe carries the caller's data, which must stay in the route's regions.
-    regions = known.current.routes.regions_of(found.flow)
+    regions = known.route_table.routes.regions_of(found.flow)
     unknown = [u for u in unknown if known.fleet.is_in_regions(u.zone, regions)]
     if not found.probed:
         unknown = unknown[: flow_search.FIRST_WAVE]
--- a/src/ebonystile/core/carrying/routes.py
+++ b/src/ebonystile/core/carrying/routes.py
@@ -43,14 +43,14 @@
 class Routes:
     """All routes of one version of the configuration.
 
-    `by_end` maps the bytes of an address and port to their route. `idle` is the idle timeout of
-    flows in ms. `warm_ups` gives the slow start of upstreams by service.
+    `by_end` maps the bytes of an address and port to their route. `idle_timeout_ms` is the idle
+    timeout of flows in ms. `slow_starts` gives the slow start of upstreams by service.
     """
 
     version: int
     by_end: dict[bytes, Route]
-    idle: int
-    warm_ups: typing.Mapping[str, warming.SlowStart] = dataclasses.field(default_factory=dict)
+    idle_timeout_ms: int
+    slow_starts: typing.Mapping[str, warming.SlowStart] = dataclasses.field(default_factory=dict)
 
     def find(self, flow: packet.Flow) -> Route | None:
         """Return the route of the flow, or None if there is none."""
@@ -61,29 +61,29 @@
         route = self.find(flow)
         return route.regions if route is not None else ()
 
-    def warm_up_of(self, service: str) -> warming.SlowStart:
+    def slow_start_of(self, service: str) -> warming.SlowStart:
         """Return the slow start of the upstreams of a service."""
-        return self.warm_ups.get(service, warming.NO_SLOW_START)
+        return self.slow_starts.get(service, warming.NO_SLOW_START)
 
 
-DEFAULT_IDLE = 15_000
+DEFAULT_IDLE_TIMEOUT_MS = 15_000
 """Idle timeout of flows in ms while no configuration is known."""
 
-EMPTY = Routes(0, {}, DEFAULT_IDLE)
+EMPTY = Routes(0, {}, DEFAULT_IDLE_TIMEOUT_MS)
 
 
 def make_routes(
     version: int,
     routes: typing.Iterable[tuple[str, int, Route]],
-    idle: int,
-    warm_ups: typing.Mapping[str, warming.SlowStart] | None = None,
+    idle_timeout_ms: int,
+    slow_starts: typing.Mapping[str, warming.SlowStart] | None = None,
 ) -> Routes:
     """Return the routes of a version from their addresses and ports."""
     by_end = {packet.end_of(host, port): route for host, port, route in routes}
-    return Routes(version, by_end, idle, warm_ups or {})
+    return Routes(version, by_end, idle_timeout_ms, slow_starts or {})
 
 
-class Current:
+class RouteTable:
     """The routes in force, and the services that may hold flows opened under earlier versions.
 
     The version never decreases: a late response of the store, or one of a peer that lags behind,
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self.routes = EMPTY
-        self.former: dict[bytes, set[str]] = {}
+        self.former_services: dict[bytes, set[str]] = {}
 
     def replace(self, newer: Routes) -> bool:
         """Put the routes in force if their version is newer; return whether it is."""
@@ -101,8 +101,8 @@
         for end, route in self.routes.by_end.items():
             kept = newer.by_end.get(end)
             if kept is not None and kept.shares != route.shares:
-                self.former.setdefault(end, set()).update(route.services)
-        self.former = {e: s for e, s in self.former.items() if e in newer.by_end}
+                self.former_services.setdefault(end, set()).update(route.services)
+        self.former_services = {e: s for e, s in self.former_services.items() if e in newer.by_end}
         self.routes = newer
         return True
 
@@ -112,5 +112,5 @@
         if route is None:
             return ()
         names = dict.fromkeys([route.service_of(flow), *route.services])
-        names.update(dict.fromkeys(sorted(self.former.get(packet.route_end(flow), ()))))
+        names.update(dict.fromkeys(sorted(self.former_services.get(packet.route_end(flow), ()))))
         return tuple(names)
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -65,7 +65,7 @@
         self.service = service
         self.service_key = view.key_of(service)
         self.started_at = now
-        self.current = routes.Current()
+        self.route_table = routes.RouteTable()
         self.fleet = fleet.Fleet()
         self.table = table.FlowTable()
         self.slow_start = warming.SlowStartTracker()
@@ -98,7 +98,7 @@
         """
         if self.saw_start or self.upstream_gone(now):
             return False
-        return now - self.started_at < self.current.routes.idle
+        return now - self.started_at < self.route_table.routes.idle_timeout_ms
 
     def upstream_gone(self, now: int) -> bool:
         """Return whether the upstream has ended: it has no entry and leaves probes unanswered.
@@ -189,7 +189,7 @@
     def room(self, now: int) -> bool:
         """Return whether the limit for cold upstreams admits one more new flow."""
         own = self.own
-        slow_start = self.current.routes.warm_up_of(self.service)
+        slow_start = self.route_table.routes.slow_start_of(self.service)
         return self.slow_start.has_capacity(slow_start, own.slow_start_until if own else None, now)
 
     def refusal(self) -> messages.Reason | None:
@@ -218,18 +218,18 @@
     def answer(self, flow: packet.Flow, acknowledged: int, now: int) -> messages.Answer:
         """Return the answer to a balancer's question about the flow."""
         holding = self.holding(flow, acknowledged, now)
-        version = self.current.routes.version
+        version = self.route_table.routes.version
         return messages.Answer(flow, version, holding, self.load(now), self.revision)
 
     def returned(self, reason: messages.Reason, raw: bytes) -> messages.Return:
         """Return the message that returns a packet to the balancer it came from."""
-        return messages.Return(reason, self.current.routes.version, raw)
+        return messages.Return(reason, self.route_table.routes.version, raw)
 
     def on_tick(self, now: int) -> list[effects.Effect]:
         """Drop expired state, and return the announcements and log entries that are due."""
         self.fleet.expire(now)
-        self.table.expire(self.current.routes.idle, now)
-        old = now - self.current.routes.idle
+        self.table.expire(self.route_table.routes.idle_timeout_ms, now)
+        old = now - self.route_table.routes.idle_timeout_ms
         self.absent = {f: at for f, at in self.absent.items() if at > old}
         self.probed = {f: s for f, s in self.probed.items() if s.at > old}
         return [*self.note_certainty(now), *self.announce(now)]
@@ -296,7 +296,7 @@
         are probed for each open flow, many with full-size packets.
         """
         if kept:
-            version = self.current.routes.version
+            version = self.route_table.routes.version
             load = self.load(now)
             return messages.Answer(
                 received.flow, version, messages.FlowStatus.ABSENT, load, self.revision
@@ -378,19 +378,19 @@
     answered = sidecar.answer(message.flow, message.acknowledged, now)
     return [
         effects.Send(source, answered),
-        *effects.make_reread(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.route_table.routes.version),
     ]
 
 
 @act.register
 def _(message: messages.AskMany, sidecar, received, source, now):
     holdings = tuple(sidecar.holding(flow, at, now) for flow, at in message.questions)
-    version = sidecar.current.routes.version
+    version = sidecar.route_table.routes.version
     load = sidecar.load(now)
     answered = messages.AnswerMany(message.number, version, holdings, load, sidecar.revision)
     return [
         effects.Send(source, answered),
-        *effects.make_reread(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.route_table.routes.version),
     ]
 
 
@@ -401,7 +401,7 @@
         return [
             effects.trace("open_refused", flow=packet.flow_text(received.flow), reason=reason.name),
             effects.Send(source, sidecar.returned(reason, received.raw)),
-            *effects.make_reread(message.version, sidecar.current.routes.version),
+            *effects.make_reread(message.version, sidecar.route_table.routes.version),
         ]
     sidecar.table.open(received.flow, source, now).source = source
     sidecar.slow_start.record_opened(now)
@@ -411,7 +411,7 @@
         sidecar.tried_at = now
     return [
         effects.ToUpstream(received.raw),
-        *effects.make_reread(message.version, sidecar.current.routes.version),
+        *effects.make_reread(message.version, sidecar.route_table.routes.version),
     ]
 
 
@@ -425,7 +425,7 @@
     """
     if message.service != sidecar.service_key:
         return messages.Reason.OTHER_SERVICE
-    known = sidecar.current.routes
+    known = sidecar.route_table.routes
     if known.version >= message.version > 0:
         route = known.find(received.flow)
         if route is None or sidecar.service not in route.services:
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -101,7 +101,7 @@
 class LimitsBody(msgspec.Struct):
     """The limits; only the idle timeout of flows is used here."""
 
-    idle_timeout_ms: int = routes.DEFAULT_IDLE
+    idle_timeout_ms: int = routes.DEFAULT_IDLE_TIMEOUT_MS
 
 
 class ConfigurationBody(msgspec.Struct):
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -185,7 +185,7 @@
         self.end(node)
         self.add_upstream(node.zone, "s", slow_start_until=self.now + 500)
         added = self.sidecars[-1]
-        added.core.current.replace(self.sidecars[0].core.current.routes)
+        added.core.route_table.replace(self.sidecars[0].core.route_table.routes)
         self.spread(added)
 
     def end(self, node: world.Node) -> None:
@@ -328,13 +328,13 @@
 
     def check_opening(self, node, shown) -> None:
         """Check that an upstream may get this new flow, by what its sidecar knows."""
-        route = node.core.current.routes.find(shown.flow)
+        route = node.core.route_table.routes.find(shown.flow)
         service = node.core.service
         _, end = world.ends.ends(shown.flow)
         allowed = self.allowed[world.ROUTE if end == MAIN_END else PHOTOS_ROUTE]
         if service not in allowed:
             self.found.append(f"a flow for {sorted(allowed)} opened at {service}")
-        elif node.core.current.routes.version == self.newest[0] and (
+        elif node.core.route_table.routes.version == self.newest[0] and (
             route is None or service not in route.services
         ):
             self.found.append("a flow opened against the newest configuration, which was known")
@@ -426,7 +426,7 @@
             caller.over = True
         self.living.clear()
         self.queue = [item for item in self.queue if item[2] != self.go_on_asking]
-        self.run(2 * routes.DEFAULT_IDLE)
+        self.run(2 * routes.DEFAULT_IDLE_TIMEOUT_MS)
         for node in self.balancers:
             core = node.core
             if core.searches or core.queued or core.homes or core.finding:
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -251,7 +251,7 @@
         node.core.service = "other"
         node.core.service_key = 0
         node.core.fleet.remove(scene.entry_of[node.address].name, scene.now)
-        node.core.current = routes.Current()
+        node.core.route_table = routes.RouteTable()
     caller = scene.caller()
     scene.run(1_000)
     assert not caller.open
@@ -424,7 +424,7 @@
 
 def test_an_older_configuration_changes_nothing():
     """A late answer of the store, or a peer that lags, shows a version from before."""
-    current = routes.Current()
+    current = routes.RouteTable()
     newer = routes.make_routes(7, [("198.18.0.1", 80, routes.Route("r", (("s", 1),)))], 1)
     assert current.replace(newer)
     assert not current.replace(routes.make_routes(5, [], 1))
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -14,9 +14,9 @@
     """Let every process know a service whose cold upstreams bear few flows a second."""
     route = routes.Route("r", (("s", 1),))
     warm_ups = {"s": warm_up}
-    made = routes.make_routes(2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE, warm_ups)
+    made = routes.make_routes(2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS, warm_ups)
     for node in scene.everyone():
-        node.core.current.replace(made)
+        node.core.route_table.replace(made)
 
 
 def cool(scene, *nodes):
@@ -138,9 +138,9 @@
 def keep_to(scene, *regions):
     """Keep the route to regions; zone a lies in north, zone b in south."""
     route = routes.Route("r", (("s", 1),), regions)
-    made = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE)
+    made = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS)
     for node in scene.everyone():
-        node.core.current.replace(made)
+        node.core.route_table.replace(made)
         node.core.fleet.regions = {"a": "north", "b": "south"}
 
 
@@ -162,10 +162,10 @@
 def test_a_sidecar_outside_the_routes_regions_refuses():
     """A balancer with an older configuration sends a flow to another region."""
     scene = world.World()
-    old = scene.balancers[0].core.current.routes
+    old = scene.balancers[0].core.route_table.routes
     keep_to(scene, "south")
     for node in scene.balancers:
-        node.core.current.routes = routes.Routes(3, old.by_end, old.idle)
+        node.core.route_table.routes = routes.Routes(3, old.by_end, old.idle_timeout_ms)
     caller = scene.caller()
     scene.run(30)
     held = [node.zone for node in scene.sidecars if caller.flow in node.upstream.opened]
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -79,7 +79,9 @@
         """Start an upstream with its sidecar, both long ago."""
         number = next(self.upstream_number)
         address = (f"10.0.1.{number}", 7720)
-        core = sidecar.Sidecar(address, service, self.now - 3 * routes.DEFAULT_IDLE, zone=zone)
+        core = sidecar.Sidecar(
+            address, service, self.now - 3 * routes.DEFAULT_IDLE_TIMEOUT_MS, zone=zone
+        )
         upstream = ends.Upstream(f"u{number}", 1_000_000 * number)
         node = Node(core, address, zone, upstream)
         self.nodes[address] = node
@@ -97,10 +99,10 @@
         made = routes.make_routes(
             version,
             [(h, p, routes.Route(f"r{p}", ((s, 1),))) for (h, p), s in by_route.items()],
-            routes.DEFAULT_IDLE,
+            routes.DEFAULT_IDLE_TIMEOUT_MS,
         )
         for node in self.everyone() if nodes is None else nodes:
-            node.core.current.replace(made)
+            node.core.route_table.replace(made)
 
     def known(self, nodes=None):
         """Let the nodes know every upstream's entry as it is now."""
@@ -125,7 +127,7 @@
         """Let a balancer start anew with the view of now and nothing else."""
         before = node.core
         node.core = balancer.Balancer(node.zone, self.now)
-        node.core.current = before.current
+        node.core.route_table = before.route_table
         node.alive = True
         self.known([node])
 
@@ -133,7 +135,7 @@
         """Let a sidecar start anew: its upstream's flows live on, its own table is empty."""
         before = node.core
         node.core = sidecar.Sidecar(node.address, before.service, self.now, zone=node.zone)
-        node.core.current = before.current
+        node.core.route_table = before.route_table
         node.alive = True
         self.known([node])
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -414,7 +414,7 @@
     Mutation(
         "a restarted sidecar's table is incomplete",
         CORE + "carrying/sidecar.py",
-        "return now - self.started_at < self.current.routes.idle",
+        "return now - self.started_at < self.route_table.routes.idle_timeout_ms",
         "return False",
     ),
     Mutation(
@@ -516,7 +516,7 @@
     Mutation(
         "former services of a route searched",
         CORE + "carrying/routes.py",
-        "names.update(dict.fromkeys(sorted(self.former.get(packet.route_end(flow), ()))))",
+        "names.update(dict.fromkeys(sorted(self.former_services.get(packet.route_end(flow), ()))))",
         "pass",
     ),
     Mutation(
