--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -51,11 +51,11 @@
 
         A balancer that reaches no sidecar refuses, so that the fabric uses other balancers.
         """
-        return super().is_ready() and not self.core.unreachable(clock.now())
+        return super().is_ready() and not self.core.is_cut_off(clock.now())
 
     def on_view(self) -> None:
         """Pass the changed view of the store to the core."""
-        self.core.set_fresh(self.feed.reader.is_current, clock.now())
+        self.core.set_view_current(self.feed.reader.is_current, clock.now())
         self.core.revision = self.feed.reader.revision or 0
         self.set_timer()
 
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -43,7 +43,7 @@
 """A flow that does not exist, for queries that only test whether a sidecar answers."""
 
 
-class Balancer(balancer_state.State):
+class Balancer(balancer_state.BalancerState):
     """The core of one balancer; its methods return the effects to carry out, in order."""
 
     def on_caller(self, received: packet.Packet, now: int) -> list[effects.Effect]:
@@ -57,7 +57,7 @@
             return self.begin(received, home, now)
         if self.route_table.routes.find(received.flow) is None:
             return self.without_route(received)
-        if not self.fleet.is_listed(home.upstream) and now >= home.checked_until:
+        if not self.fleet.is_listed(home.upstream) and now >= home.verified_until:
             return self.begin(received, home, now)
         home.seen_at = now
         return [effects.Send(home.upstream.address, messages.Carry(received.raw))]
@@ -65,7 +65,7 @@
     def without_route(self, received: packet.Packet) -> list[effects.Effect]:
         """Reset a flow without a route, or drop the packet while the configuration may be stale."""
         self.homes.pop(received.flow, None)
-        if received.aborts or not self.view_fresh or not self.route_table.routes.version:
+        if received.aborts or not self.is_view_current or not self.route_table.routes.version:
             return []
         return [
             effects.trace(
@@ -88,7 +88,7 @@
             return []
         if received.opens:
             begun = opening.search_for(self, received, route.service_of(received.flow), now)
-        elif self.finding < MAX_FINDING:
+        elif self.open_flow_searches < MAX_FINDING:
             begun = finding.search_for(self, received, now)
         else:
             finding.queue(self, received, now)
@@ -96,21 +96,25 @@
         if home is not None:
             begun.previous = home
             begun.waves[:1] = [flow_search.with_first(home.upstream, (begun.waves or [[]])[0])]
-        if not begun.goes_on and (received.opens or self.view_confirmed(now)):
+        if not begun.goes_on and (received.opens or self.is_view_confirmed(now)):
             return self.nobody(received)
         if not begun.goes_on:
             # After an outage of the store its list can be empty while all upstreams are running.
-            self.missing_since.setdefault(received.flow, now)
-            self.keep_pending(received)
+            self.not_found_since.setdefault(received.flow, now)
+            self.add_pending(received)
             return []
         self.searches[received.flow] = begun
-        self.finding += not begun.opening
-        return self.ask_next(begun, now) if begun.waves else asking.ask_everybody(self, begun, now)
+        self.open_flow_searches += not begun.opening
+        return (
+            self.ask_next_round(begun, now)
+            if begun.waves
+            else asking.ask_everybody(self, begun, now)
+        )
 
     def begin_queued(self, now: int) -> list[effects.Effect]:
         """Begin searches for queued flows up to the limit, the oldest first."""
         todo: list[effects.Effect] = []
-        while self.queued and self.finding < MAX_FINDING:
+        while self.queued and self.open_flow_searches < MAX_FINDING:
             flow = next(iter(self.queued))
             received, until = self.queued.pop(flow)
             if now < until and flow not in self.searches and flow not in self.homes:
@@ -123,7 +127,9 @@
         Waiting for the callers' next copies would take many of them past their timeouts.
         """
         todo: list[effects.Effect] = []
-        while self.pending and self.finding < MAX_FINDING and self.view_confirmed(now):
+        while (
+            self.pending and self.open_flow_searches < MAX_FINDING and self.is_view_confirmed(now)
+        ):
             flow = next(iter(self.pending))
             received = self.pending.pop(flow)
             if flow not in self.searches and flow not in self.homes:
@@ -132,7 +138,7 @@
 
     def nobody(self, received: packet.Packet) -> list[effects.Effect]:
         """Reset a flow without any upstream, or drop the packet while the view may be stale."""
-        if not self.view_fresh or received.aborts:
+        if not self.is_view_current or received.aborts:
             return []
         return [
             effects.trace("flow_reset", flow=packet.flow_text(received.flow), reason="no_upstream"),
@@ -147,9 +153,9 @@
         now: int,
     ) -> list[effects.Effect]:
         """Handle a sidecar's message; `received` is the packet in it, if any."""
-        self.unheard_since = None
-        self.silence.pop(source, None)
-        self.silent_since.pop(source, None)
+        self.unanswered_since = None
+        self.unresponsive_until.pop(source, None)
+        self.unresponsive_since.pop(source, None)
         todo = act(message, self, received, source, now)
         if self.queued:
             todo.extend(self.begin_queued(now))
@@ -162,17 +168,17 @@
         todo = self.ask_unlisted(now)
         if self.pending:
             todo.extend(self.begin_pending(now))
-        if self.batch.due is not None and self.batch.due <= now:
+        if self.ask_batch.due is not None and self.ask_batch.due <= now:
             todo.extend(asking.ask_batch(self, now))
-        if self.probes.due is not None and self.probes.due <= now:
+        if self.probe_batch.due is not None and self.probe_batch.due <= now:
             todo.extend(probing.send_probes(self, now))
         due = self.next_search_due()
         while due is not None and due <= now:
-            _, flow = heapq.heappop(self.dues)
+            _, flow = heapq.heappop(self.due_heap)
             found = self.searches[flow]
             todo.extend(self.go_on(found, now))
             if self.searches.get(flow) is found and found.due <= now:
-                self.wait(found, now + 1)
+                self.schedule(found, now + 1)
             due = self.next_search_due()
         return [*todo, *self.begin_queued(now)]
 
@@ -185,24 +191,28 @@
     def on_tick(self, now: int) -> list[effects.Effect]:
         """Drop expired state; while unreachable, query one sidecar to notice the end of that."""
         self.fleet.expire(now)
-        self.silence = {a: until for a, until in self.silence.items() if until > now}
-        self.silent_since = {a: at for a, at in self.silent_since.items() if a in self.silence}
-        if now >= self.sweep_at:
+        self.unresponsive_until = {
+            a: until for a, until in self.unresponsive_until.items() if until > now
+        }
+        self.unresponsive_since = {
+            a: at for a, at in self.unresponsive_since.items() if a in self.unresponsive_until
+        }
+        if now >= self.next_expiry_at:
             self.sweep(now)
         known = list(self.fleet.by_address)
-        if not self.unreachable(now) or not known:
+        if not self.is_cut_off(now) or not known:
             return []
         question = messages.Ask(NO_FLOW, self.route_table.routes.version)
         return [effects.Send(known[now // PROBE_MS % len(known)], question)]
 
     def sweep(self, now: int) -> None:
         """Drop the flows that have been idle for too long."""
-        self.sweep_at = now + SWEEP_MS
+        self.next_expiry_at = now + SWEEP_MS
         idle = self.route_table.routes.idle_timeout_ms
         if len(self.homes) > MAX_HOMES:
             idle = idle // 4
         self.homes = {f: h for f, h in self.homes.items() if now - h.seen_at < idle}
-        self.missing_since = {f: at for f, at in self.missing_since.items() if now - at < idle}
+        self.not_found_since = {f: at for f, at in self.not_found_since.items() if now - at < idle}
 
     def go_on(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
         """Decide by the answers so far, ask further sidecars, or end the search."""
@@ -214,20 +224,20 @@
             return []
         self.note_silent(found, now)
         if found.goes_on and found.opening:
-            return self.ask_next(found, now)
+            return self.ask_next_round(found, now)
         if found.goes_on:
             return asking.ask_everybody(self, found, now)
-        until = self.patience(found)
+        until = self.answer_deadline(found)
         if now < until and not found.exhausted():
-            self.wait(found, until)
+            self.schedule(found, until)
             return []
         return self.end_of_search(found, now)
 
     def note_silent(self, found: flow_search.Search, now: int) -> None:
         """Record the sidecars that did not answer in time as silent for `SILENCE_MS`."""
         for upstream in found.unanswered():
-            self.silence[upstream.address] = now + flow_search.SILENCE_MS
-            self.silent_since.setdefault(upstream.address, now)
+            self.unresponsive_until[upstream.address] = now + flow_search.SILENCE_MS
+            self.unresponsive_since.setdefault(upstream.address, now)
 
     def end_of_search(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
         """End a failed search: reset the flow if it has certainly ended, else drop its packets.
@@ -235,17 +245,17 @@
         A search for an open flow is repeated if the result is uncertain although all sidecars
         with an entry answered.
         """
-        self.end(found)
+        self.end_search(found)
         last = found.packets[-1]
-        missing = self.missing(found)
+        missing = self.unanswered_listed(found)
         not_found = not missing and not found.unknown()
         if found.opening:
-            over = not_found and self.view_fresh
-        elif not self.view_confirmed(now):
+            over = not_found and self.is_view_current
+        elif not self.is_view_confirmed(now):
             over = False
             if not_found:
-                self.missing_since.setdefault(found.flow, now)
-            self.keep_pending(last)
+                self.not_found_since.setdefault(found.flow, now)
+            self.add_pending(last)
         else:
             over = not_found and finding.confirmed(self, found, now)
             if not (over or missing or last.aborts) and found.looks < finding.MOST_LOOKS:
@@ -318,7 +328,7 @@
         holding: messages.Answer(NO_FLOW, message.version, holding, message.load, message.revision)
         for holding in messages.FlowStatus
     }
-    flows = balancer.batch.flows_of(message.number)
+    flows = balancer.ask_batch.flows_of(message.number)
     for flow, holding in zip(flows, message.flow_statuses, strict=False):
         found = balancer.searches.get(flow)
         if found is None or source not in found.asked:
--- a/src/ebonystile/core/carrying/batches.py
+++ b/src/ebonystile/core/carrying/batches.py
@@ -49,7 +49,7 @@
         self.due = now + GATHER_MS if self.waiting else None
         return [found for found in taken if searches.get(found.flow) is found]
 
-    def remember(self, flows: tuple[packet.Flow, ...], now: int) -> int:
+    def register_flows(self, flows: tuple[packet.Flow, ...], now: int) -> int:
         """Record a query about these flows and return its number."""
         self.asked = {n: kept for n, kept in self.asked.items() if now - kept[0] < REMEMBER_MS}
         self.number = (self.number + 1) % (1 << 32)
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -45,7 +45,7 @@
 
 
 def search_for(
-    known: balancer_state.State, received: packet.Packet, now: int
+    known: balancer_state.BalancerState, received: packet.Packet, now: int
 ) -> flow_search.Search:
     """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
@@ -54,7 +54,9 @@
         u for name in names for u in placing.order(flow, known.fleet.upstreams_of(name), known.zone)
     ]
     begun = flow_search.Search(flow, "", [received], [], started_at=now, due=now)
-    first = likely[: flow_search.FIRST_WAVE] if known.finding < asking.FINDING_SINGLY else []
+    first = (
+        likely[: flow_search.FIRST_WAVE] if known.open_flow_searches < asking.FINDING_SINGLY else []
+    )
     if first:
         begun.waves = [first]
     others = [u for u in known.fleet.by_address.values() if u.service not in names]
@@ -64,33 +66,33 @@
     return begun
 
 
-def without_entry(known: balancer_state.State, now: int) -> list[fleet.Upstream]:
+def without_entry(known: balancer_state.BalancerState, now: int) -> list[fleet.Upstream]:
     """Return the upstreams without an entry whose sidecars may answer.
 
     An upstream cut off from the store still serves its flows, which must not be reset. Most of the
     others have ended; those that have not answered for `GONE_AFTER_MS` are skipped, so that callers
     of lost flows don't wait for them.
     """
-    since = known.silent_since
+    since = known.unresponsive_since
     alive = known.fleet.unlisted()
     return [u for u in alive if now - since.get(u.address, now) < GONE_AFTER_MS]
 
 
-def queue(known: balancer_state.State, received: packet.Packet, now: int) -> None:
+def queue(known: balancer_state.BalancerState, received: packet.Packet, now: int) -> None:
     """Queue a packet of an open flow until a search for it may begin."""
     if len(known.queued) < MAX_QUEUED:
         known.queued.setdefault(received.flow, (received, now + QUEUE_MS))
 
 
 def decide(
-    known: balancer_state.State, found: flow_search.Search, now: int
+    known: balancer_state.BalancerState, found: flow_search.Search, now: int
 ) -> list[effects.Effect] | None:
     """Return the effects by which the answers end or advance the search, or None to wait."""
     kept = found.keeper()
     if kept is not None:
-        known.end(found)
-        home = known.remember(found.flow, kept, now)
-        home.checked_until = now + CHECK_MS
+        known.end_search(found)
+        home = known.remember_home(found.flow, kept, now)
+        home.verified_until = now + CHECK_MS
         return [
             effects.trace(
                 "found",
@@ -106,12 +108,12 @@
     unknown = found.unknown()
     if not unknown or (found.goes_on and 2 * len(unknown) < len(found.answers)):
         return None
-    if not found.goes_on and known.missing(found) and now < known.patience(found):
+    if not found.goes_on and known.unanswered_listed(found) and now < known.answer_deadline(found):
         return None
     return probing.probe(known, found, unknown, now)
 
 
-def confirmed(known: balancer_state.State, found: flow_search.Search, now: int) -> bool:
+def confirmed(known: balancer_state.BalancerState, found: flow_search.Search, now: int) -> bool:
     """Return whether a flow that was not found has ended.
 
     One search is enough if every sidecar has answered, or if the upstream of the former home has no
@@ -124,12 +126,16 @@
         return False
     if found.settled():
         return True
-    first = known.missing_since.setdefault(found.flow, now)
+    first = known.not_found_since.setdefault(found.flow, now)
     return now - first >= CONFIRM_MS
 
 
 def look_again(
-    known: balancer_state.State, packets: list[packet.Packet], now: int, due: int, looks: int = 2
+    known: balancer_state.BalancerState,
+    packets: list[packet.Packet],
+    now: int,
+    due: int,
+    looks: int = 2,
 ) -> list[effects.Effect]:
     """Schedule a search of all sidecars at the time `due` in ms; `looks` is its number."""
     again = search_for(known, packets[0], now)
@@ -139,6 +145,6 @@
     again.later = functools.partial(flow_search.later_waves, everybody, ())
     again.looks = looks
     known.searches[again.flow] = again
-    known.finding += 1
-    known.wait(again, due)
+    known.open_flow_searches += 1
+    known.schedule(again, due)
     return []
--- a/src/ebonystile/core/carrying/flow_search.py
+++ b/src/ebonystile/core/carrying/flow_search.py
@@ -39,7 +39,7 @@
 zone and three of others. A service has about 5 upstreams at the target size."""
 
 LATER_WAVE = 256
-"""Sidecars in each later wave: within the burst of the budget `fanout`."""
+"""Sidecars in each later wave: within the burst of the budget `fan_out_budget`."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -31,11 +31,11 @@
 
 
 def search_for(
-    known: balancer_state.State, received: packet.Packet, service: str, now: int
+    known: balancer_state.BalancerState, received: packet.Packet, service: str, now: int
 ) -> flow_search.Search:
     """Return a search for an upstream that accepts a new flow."""
     willing = known.fleet.accepting(service, known.route_table.routes.regions_of(received.flow))
-    heard = [u for u in willing if u.address not in known.silence]
+    heard = [u for u in willing if u.address not in known.unresponsive_until]
     near, far = placing.split(heard or willing, known.zone)
     flow = received.flow
     if near:
@@ -53,7 +53,7 @@
 
 
 def decide(
-    known: balancer_state.State, found: flow_search.Search, now: int
+    known: balancer_state.BalancerState, found: flow_search.Search, now: int
 ) -> list[effects.Effect] | None:
     """Return the effects that place, defer or refuse a new flow, or None to wait for answers."""
     kept = found.keeper()
@@ -74,14 +74,14 @@
 
 
 def loads_now(
-    known: balancer_state.State, found: flow_search.Search
+    known: balancer_state.BalancerState, found: flow_search.Search
 ) -> list[tuple[fleet.Upstream, messages.Load]]:
     """Return the loads reported, plus the flows placed since the sidecars were asked.
 
     When many flows open at once, all queries are answered before the first flow arrives. Without
     the correction most flows would go to the upstream that was least loaded at that time.
     """
-    placed = known.placed_since(found.asked_at)
+    placed = known.count_placements_since(found.asked_at)
     return [
         (upstream, with_more(answer.load, placed[upstream.address]))
         for upstream, answer in found.in_order()
@@ -96,7 +96,10 @@
 
 
 def hold(
-    known: balancer_state.State, found: flow_search.Search, chosen: placing.Standing, now: int
+    known: balancer_state.BalancerState,
+    found: flow_search.Search,
+    chosen: placing.Standing,
+    now: int,
 ) -> list[effects.Effect]:
     """Defer a new flow while all upstreams are overloaded, and query the sidecars again.
 
@@ -108,7 +111,7 @@
     again.packets = found.packets
     again.excluded = found.excluded
     known.searches[found.flow] = again
-    known.wait(again, now + HOLD_STEP_MS)
+    known.schedule(again, now + HOLD_STEP_MS)
     again.held = True
     if found.held:
         return []
@@ -116,10 +119,13 @@
 
 
 def turn_away(
-    known: balancer_state.State, found: flow_search.Search, chosen: placing.Standing, now: int
+    known: balancer_state.BalancerState,
+    found: flow_search.Search,
+    chosen: placing.Standing,
+    now: int,
 ) -> list[effects.Effect]:
     """Reset a new flow because all upstreams are in slow start and at their limits of new flows."""
-    known.end(found)
+    known.end_search(found)
     return [
         found.trace_end(now, reset=True, reason="cold", **inputs_of(chosen)),
         effects.Reset(found.flow, found.packets[-1].acknowledged),
@@ -127,17 +133,17 @@
 
 
 def place(
-    known: balancer_state.State,
+    known: balancer_state.BalancerState,
     found: flow_search.Search,
     upstream: fleet.Upstream,
     now: int,
     chosen: placing.Standing | None = None,
 ) -> list[effects.Effect]:
     """Send the flow's opening packet to the upstream; `chosen` is None if it holds the flow."""
-    known.end(found)
-    known.remember(found.flow, upstream, now)
+    known.end_search(found)
+    known.remember_home(found.flow, upstream, now)
     if chosen is not None:
-        known.note_placed(upstream, now)
+        known.record_placement(upstream, now)
     key = view.key_of(found.service)
     version = known.route_table.routes.version
     opening = messages.Open(key, version, found.packets[-1].raw)
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -14,7 +14,10 @@
 
 
 def probe(
-    known: balancer_state.State, found: flow_search.Search, unknown: list[fleet.Upstream], now: int
+    known: balancer_state.BalancerState,
+    found: flow_search.Search,
+    unknown: list[fleet.Upstream],
+    now: int,
 ) -> list[effects.Effect] | None:
     """Probe upstreams whose sidecars started too recently to know their flows.
 
@@ -31,15 +34,15 @@
     unknown = [u for u in unknown if known.fleet.is_in_regions(u.zone, regions)]
     if not found.probed:
         unknown = unknown[: flow_search.FIRST_WAVE]
-    elif not known.view_confirmed(now):
+    elif not known.is_view_confirmed(now):
         unknown = unknown[: max(0, flow_search.PROBED_EARLY - len(found.probed))]
-    if known.missing(found):
+    if known.unanswered_listed(found):
         unknown = unknown[: max(0, flow_search.PROBED_BLIND - len(found.probed))]
     if not unknown:
         return None
-    if len(unknown) > flow_search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:
+    if len(unknown) > flow_search.FIRST_WAVE or known.open_flow_searches >= asking.FINDING_SINGLY:
         return probe_many(known, found, unknown, now)
-    if not known.fanout.take(len(unknown), now):
+    if not known.fan_out_budget.take(len(unknown), now):
         return asking.wait_for_room(known, found, len(unknown), now)
     message = messages.Probe(found.packets[0].raw)
     return [
@@ -49,7 +52,7 @@
 
 
 def note_probed(
-    known: balancer_state.State,
+    known: balancer_state.BalancerState,
     found: flow_search.Search,
     upstreams: list[fleet.Upstream],
     now: int,
@@ -58,7 +61,7 @@
     found.probed.update(u.address for u in upstreams)
     found.asked_at = now
     found.give_up_at = now + flow_search.PROBE_MS
-    known.wait(found, known.patience(found))
+    known.schedule(found, known.answer_deadline(found))
     return effects.trace(
         "probed",
         flow=packet.flow_text(found.flow),
@@ -68,7 +71,7 @@
 
 
 def probe_many(
-    known: balancer_state.State,
+    known: balancer_state.BalancerState,
     found: flow_search.Search,
     upstreams: list[fleet.Upstream],
     now: int,
@@ -76,21 +79,21 @@
     """Add the search to the batch of probes, or end it if it has waited too long."""
     if now >= found.started_at + asking.PATIENCE_MS:
         return asking.give_up(known, found)
-    if found.flow not in known.probes.waiting:
-        known.probes.add(found, upstreams, now)
-        known.wait(found, found.started_at + asking.PATIENCE_MS)
+    if found.flow not in known.probe_batch.waiting:
+        known.probe_batch.add(found, upstreams, now)
+        known.schedule(found, found.started_at + asking.PATIENCE_MS)
     return []
 
 
-def send_probes(known: balancer_state.State, now: int) -> list[effects.Effect]:
+def send_probes(known: balancer_state.BalancerState, now: int) -> list[effects.Effect]:
     """Send the next batch of probes, with those for the same upstream in common messages."""
-    flows, wanted = known.probes.next_flows()
-    if not known.fanout.take(wanted, now):
-        known.probes.due = max(now + 1, known.fanout.ready_at(wanted, now))
+    flows, wanted = known.probe_batch.next_flows()
+    if not known.fan_out_budget.take(wanted, now):
+        known.probe_batch.due = max(now + 1, known.fan_out_budget.ready_at(wanted, now))
         return []
     todo: list[effects.Effect] = []
     raws: dict[view.Address, list[bytes]] = {}
-    for found, upstreams in known.probes.take(flows, known.searches, now):
+    for found, upstreams in known.probe_batch.take(flows, known.searches, now):
         todo.append(note_probed(known, found, upstreams, now))
         for upstream in upstreams:
             raws.setdefault(upstream.address, []).append(found.packets[0].raw)
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -77,7 +77,7 @@
         self.tried_at = 0
         self.heard_at = now
         self.listed: fleet.Upstream | None = None
-        self.view_fresh = False
+        self.is_view_current = False
         self.revision = 0
         self.grown_at = now
         self.known_added = 0
@@ -107,7 +107,7 @@
         started again. Answering UNKNOWN for it would delay the reset of every lost flow until the
         caller's timeout.
         """
-        if self.probed_since is None or not self.view_fresh or self.own is not None:
+        if self.probed_since is None or not self.is_view_current or self.own is not None:
             return False
         return now - self.probed_since >= LOST_MS
 
@@ -122,7 +122,7 @@
         if self.fleet.added_count != self.known_added:
             self.known_added = self.fleet.added_count
             self.grown_at = now
-        if self.view_fresh and self.first_view is None:
+        if self.is_view_current and self.first_view is None:
             self.first_view = frozenset(self.fleet.upstreams)
         if own is None or own.service != self.service or self.first_view is None:
             return
@@ -153,7 +153,7 @@
         Its entry is gone, and it has sent nothing for `LOST_MS` after a packet of the flow. An
         upstream that is only cut off from the store still answers, and keeps its flows.
         """
-        if not self.view_fresh or self.listed is None or self.fleet.is_listed(self.listed):
+        if not self.is_view_current or self.listed is None or self.fleet.is_listed(self.listed):
             return False
         if not record.delivered_at or self.heard_at >= record.delivered_at:
             record.delivered_at = now
@@ -266,7 +266,7 @@
         Which sidecars are witnesses depends on the list of upstreams, so the time starts again with
         each upstream added. `now` may be slightly before the last change of the list.
         """
-        return max(0, now - max(self.started_at, self.grown_at)) if self.view_fresh else 0
+        return max(0, now - max(self.started_at, self.grown_at)) if self.is_view_current else 0
 
     def on_message(
         self,
--- a/tests/carrying/faults.py
+++ b/tests/carrying/faults.py
@@ -133,7 +133,7 @@
     cuts |= {(there, here) for here, there in cuts}
     day.cuts |= cuts
     day.stale.add(struck.address)
-    struck.core.set_fresh(False, day.now)
+    struck.core.set_view_current(False, day.now)
     day.later(OUTAGE_MS, day.cuts.difference_update, cuts)
 
 
@@ -141,14 +141,14 @@
     """Let a balancer hear nothing new of the store until the end; it knows so."""
     struck = day.balancer_near(node)
     day.stale.add(struck.address)
-    struck.core.set_fresh(False, day.now)
+    struck.core.set_view_current(False, day.now)
 
 
 def sidecar_without_store(day: matrix.Day, node: world.Node) -> None:
     """Let a sidecar hear nothing new of the store until the end; it knows so."""
     struck = day.sidecar_near(node)
     day.stale.add(struck.address)
-    struck.core.view_fresh = False
+    struck.core.is_view_current = False
 
 
 def lose_entry(day: matrix.Day, node: world.Node) -> None:
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -241,11 +241,11 @@
             return
         if isinstance(node.core, balancer.Balancer):
             self.restart_balancer(node)
-            node.core.set_fresh(False, self.now)
-            node.core.set_fresh(node.address not in self.stale, self.now)
+            node.core.set_view_current(False, self.now)
+            node.core.set_view_current(node.address not in self.stale, self.now)
         else:
             self.restart_sidecar(node)
-            node.core.view_fresh = node.address not in self.stale
+            node.core.is_view_current = node.address not in self.stale
 
     # Faults
 
@@ -402,7 +402,7 @@
             return
         if self.now < self.mute_until.get(node.upstream.name, 0) + SEARCH_MS:
             return
-        if caller.through.core.view_since > self.lost_at.get(node.address, self.now):
+        if caller.through.core.view_current_since > self.lost_at.get(node.address, self.now):
             return
         if self.holds(node, accepted, caller.flow):
             self.found.append(f"reset although {node.upstream.name} holds the flow")
@@ -429,7 +429,7 @@
         self.run(2 * routes.DEFAULT_IDLE_TIMEOUT_MS)
         for node in self.balancers:
             core = node.core
-            if core.searches or core.queued or core.homes or core.finding:
+            if core.searches or core.queued or core.homes or core.open_flow_searches:
                 self.found.append("a balancer keeps something of flows that are over")
         for node in self.sidecars:
             if node.alive and (node.core.table.flows or node.core.probed):
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -22,8 +22,8 @@
 def view_begins(scene, nodes):
     """Let balancers that have just started have their view from now on."""
     for node in nodes:
-        node.core.set_fresh(False, scene.now)
-        node.core.set_fresh(True, scene.now)
+        node.core.set_view_current(False, scene.now)
+        node.core.set_view_current(True, scene.now)
 
 
 def restart_everything(scene, *, upstreams):
@@ -175,7 +175,7 @@
         scene.balancers[1].core.started_at = scene.now + 10 * SECOND
         scene.balancers[1].core.confirmation.started_at = scene.now + 10 * SECOND
     scene.ask(caller, b"again")
-    scene.run(balancer_state.VIEW_AGE_MS - 50)
+    scene.run(balancer_state.MIN_VIEW_AGE_MS - 50)
     assert caller.resets == 0
     scene.run(200)
     assert caller.resets == 1
@@ -285,7 +285,7 @@
     view_begins(scene, [asker])
     (sent,) = seed.core.on_message(messages.AskUnlisted(), None, asker.address, scene.now)
     asker.core.on_message(sent.message, None, seed.address, scene.now)
-    assert not asker.core.view_confirmed(scene.now)
+    assert not asker.core.is_view_confirmed(scene.now)
 
 
 def test_a_balancer_reads_from_a_sidecar_that_offers_itself():
@@ -311,5 +311,5 @@
     core = scene.balancers[0].core
     for number in range(balancer_state.MAX_PENDING + 10):
         flow = packet.end_of("100.64.0.7", number + 1) + packet.end_of(*world.ROUTE)
-        core.keep_pending(packet.Packet(flow, b"", 0, 0, 0))
+        core.add_pending(packet.Packet(flow, b"", 0, 0, 0))
     assert len(core.pending) == balancer_state.MAX_PENDING
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -36,8 +36,8 @@
 def view_begins(scene):
     """Let the balancers have their view, the store's present word, from now on."""
     for node in scene.balancers:
-        node.core.set_fresh(False, scene.now)
-        node.core.set_fresh(True, scene.now)
+        node.core.set_view_current(False, scene.now)
+        node.core.set_view_current(True, scene.now)
 
 
 def messages_of(scene, kind):
@@ -145,7 +145,7 @@
     scene.run(150)
     assert len(messages_of(scene, messages.Probe)) <= flow_search.PROBED_EARLY
     assert caller.resets == 0
-    scene.run(balancer_state.VIEW_AGE_MS + 500)
+    scene.run(balancer_state.MIN_VIEW_AGE_MS + 500)
     assert len(messages_of(scene, messages.Probe)) >= 59
     assert caller.resets == 1
 
@@ -264,7 +264,7 @@
         core.fleet.put(entry)
     core.view_changed(scene.now)
     assert core.incomplete(scene.now)
-    core.view_fresh = True
+    core.is_view_current = True
     core.view_changed(scene.now)
     assert not core.incomplete(scene.now)
 
@@ -324,7 +324,7 @@
     node.core.revision = 7
     view_begins(scene)
     scene.ask(caller, b"again")
-    scene.run(balancer_state.VIEW_AGE_MS + 100)
+    scene.run(balancer_state.MIN_VIEW_AGE_MS + 100)
     assert caller.resets == 0
     node.core.revision = 8
     scene.run(200)
@@ -344,7 +344,10 @@
         scene.ask(caller, b"x" * 1_150)
     scene.run(500)
     probes = messages_of(scene, messages.ProbeMany)
-    assert probes and len(probes) <= balancer_state.FANOUT_BURST + balancer_state.FANOUT_PER_S // 2
+    assert (
+        probes
+        and len(probes) <= balancer_state.FAN_OUT_BURST + balancer_state.FAN_OUT_MESSAGES_PER_S // 2
+    )
     scene.run(5 * SECOND)
     assert all(caller.resets == 1 for caller in callers)
 
@@ -393,7 +396,7 @@
     caller = scene.open()
     home = scene.home_of(caller)
     core = scene.balancers[1].core
-    core.missing_since[caller.flow] = scene.now - SECOND
+    core.not_found_since[caller.flow] = scene.now - SECOND
     caller.through = scene.balancers[1]
     scene.ask(caller, b"again")
     scene.run(100)
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -211,7 +211,7 @@
     home = scene.home_of(caller)
     cut_off = caller.through
     scene.restart_balancer(cut_off)
-    cut_off.core.set_fresh(False, scene.now)
+    cut_off.core.set_view_current(False, scene.now)
     scene.cut(cut_off.address, home.address)
     scene.ask(caller, b"again")
     scene.run(1_000)
@@ -234,7 +234,7 @@
     scene.set_routes(2, {world.ROUTE: "s"})
     scene.known([current, *scene.sidecars])
     caller = scene.open(through=current)
-    behind.core.set_fresh(False, scene.now)
+    behind.core.set_view_current(False, scene.now)
     caller.through = behind
     scene.ask(caller, b"again")
     scene.run(2 * SECOND)
@@ -285,7 +285,7 @@
     scene.set_routes(2, {world.ROUTE: "t"})
     scene.restart_balancer(caller.through)
     for balancer in scene.balancers:
-        balancer.core.fanout.full_at = scene.now + 1_000 * SECOND
+        balancer.core.fan_out_budget.full_at = scene.now + 1_000 * SECOND
     scene.ask(caller, b"again")
     scene.run(300)
     assert caller.answer.endswith(b"again")
@@ -319,7 +319,7 @@
     scene.at_upstream(other, raw)
     scene.run(1)
     made = scene.entry_of[other.address]
-    scene.balancers[0].core.remember(caller.flow, made, scene.now)
+    scene.balancers[0].core.remember_home(caller.flow, made, scene.now)
     scene.ask(caller, b"hello")
     scene.run(100)
     assert caller.answer == first.upstream.name.encode() + b":hello"
@@ -334,10 +334,10 @@
     caller = scene.caller(through=lonely)
     scene.run(2 * SECOND)
     assert not caller.open
-    assert lonely.core.unreachable(scene.now)
+    assert lonely.core.is_cut_off(scene.now)
     scene.cuts.clear()
     scene.run(500)
-    assert not lonely.core.unreachable(scene.now)
+    assert not lonely.core.is_cut_off(scene.now)
 
 
 def test_upstreams_lost_in_an_outage_of_the_store_are_kept_for_its_return():
@@ -376,7 +376,7 @@
     for caller in callers:
         scene.ask(caller, b"again")
     scene.run(3)
-    assert 0 < scene.balancers[0].core.finding <= 128
+    assert 0 < scene.balancers[0].core.open_flow_searches <= 128
     scene.run(97)
     late = scene.caller(50_000)
     scene.run(50)
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -114,9 +114,9 @@
             for name in set(node.core.fleet.upstreams) - {u.name for u in listed}:
                 node.core.fleet.remove(name, self.now)
             if isinstance(node.core, balancer.Balancer):
-                node.core.set_fresh(True, self.now - balancer_state.VIEW_AGE_MS - 1)
+                node.core.set_view_current(True, self.now - balancer_state.MIN_VIEW_AGE_MS - 1)
             else:
-                node.core.view_fresh = True
+                node.core.is_view_current = True
                 node.core.view_changed(self.now)
 
     def entry(self, node, **changes):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -450,7 +450,7 @@
     Mutation(
         "flows not found are decided once the view is confirmed",
         CORE + "carrying/balancer.py",
-        "            self.keep_pending(last)\n",
+        "            self.add_pending(last)\n",
         "            pass\n",
     ),
     Mutation(
@@ -468,13 +468,13 @@
     Mutation(
         "an empty list ends no flow",
         CORE + "carrying/balancer.py",
-        "if not begun.goes_on and (received.opens or self.view_confirmed(now)):",
+        "if not begun.goes_on and (received.opens or self.is_view_confirmed(now)):",
         "if not begun.goes_on:",
     ),
     Mutation(
         "own placings count",
         CORE + "carrying/balancer_state.py",
-        "self.placed.append((now, upstream.address))",
+        "self.placements.append((now, upstream.address))",
         "pass",
     ),
     Mutation(
@@ -492,7 +492,7 @@
     Mutation(
         "no reset by an old view",
         CORE + "carrying/balancer_state.py",
-        "return self.confirmation.confirmed or now - self.view_since >= VIEW_AGE_MS",
+        "return self.confirmation.confirmed or now - self.view_current_since >= MIN_VIEW_AGE_MS",
         "return True",
     ),
     Mutation(
@@ -504,14 +504,14 @@
     Mutation(
         "searches for open flows bounded",
         CORE + "carrying/balancer.py",
-        "elif self.finding < MAX_FINDING:",
+        "elif self.open_flow_searches < MAX_FINDING:",
         "elif True:",
     ),
     Mutation(
         "wide searches bounded",
         CORE + "carrying/balancer.py",
-        "if found.goes_on and found.opening:\n            return self.ask_next(found, now)",
-        "if found.goes_on:\n            return self.ask_next(found, now)",
+        "if found.goes_on and found.opening:\n            return self.ask_next_round(found, now)",
+        "if found.goes_on:\n            return self.ask_next_round(found, now)",
     ),
     Mutation(
         "former services of a route searched",
@@ -565,7 +565,7 @@
     Mutation(
         "finding forgets that a flow was nowhere",
         CORE + "carrying/balancer_state.py",
-        "        self.missing_since.pop(flow, None)\n",
+        "        self.not_found_since.pop(flow, None)\n",
         "",
     ),
     Mutation(
@@ -589,28 +589,29 @@
     Mutation(
         "a growing list confirms nothing",
         CORE + "carrying/sidecar.py",
-        "return max(0, now - max(self.started_at, self.grown_at)) if self.view_fresh else 0",
-        "return max(0, now - self.started_at) if self.view_fresh else 0",
+        "return max(0, now - max(self.started_at, self.grown_at)) if self.is_view_current else 0",
+        "return max(0, now - self.started_at) if self.is_view_current else 0",
     ),
     Mutation(
         "few upstreams probed before the view is confirmed",
         CORE + "carrying/probing.py",
-        "elif not known.view_confirmed(now):",
+        "elif not known.is_view_confirmed(now):",
         "elif False:",
     ),
     Mutation(
         "probes share messages",
         CORE + "carrying/probing.py",
-        "if len(unknown) > flow_search.FIRST_WAVE or known.finding >= asking.FINDING_SINGLY:",
+        "if len(unknown) > flow_search.FIRST_WAVE"
+        " or known.open_flow_searches >= asking.FINDING_SINGLY:",
         "if False:",
     ),
     Mutation(
         "a late answer ends no search",
         CORE + "carrying/asking.py",
-        "    if found.flow not in known.batch.waiting:\n",
-        "    if known.batch.waiting.pop(found.flow, None):\n"
-        "        return known.end(found)\n"
-        "    if found.flow not in known.batch.waiting:\n",
+        "    if found.flow not in known.ask_batch.waiting:\n",
+        "    if known.ask_batch.waiting.pop(found.flow, None):\n"
+        "        return known.end_search(found)\n"
+        "    if found.flow not in known.ask_batch.waiting:\n",
     ),
     Mutation(
         "silent ones are not waited for by each caller",
