--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -103,6 +103,6 @@
     def on_leave(self) -> None:
         """Keep serving; the readiness check already refuses, so the fabric removes the balancer."""
 
-    def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
+    def send_to_caller(self, raw: bytes, flow: packet.Flow) -> None:
         """Send a packet to the flow's caller."""
         loop.send(self.caller_socket, raw, (packet.caller_host(flow), self.caller_port))
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -63,7 +63,7 @@
         self.switch_to(source)
         self.call = call
         client = self.clients[source]
-        path = store.path_of(call, now)
+        path = store.build_path(call, now)
         client.get(
             path, call.deadline, self.on_answer, self.on_failure, first_byte_by=call.first_byte_by
         )
@@ -168,7 +168,7 @@
         self.sources.on_failed(self.source, now)
         others = self.sources.has_alternative(self.reader.complete, now)
         self.reader.on_failed(now, store=without_store, at_once=others)
-        self.relay.expire(now)
+        self.relay.expire_watches(now)
         self.on_change()
         self.make_next_call()
 
--- a/src/ebonystile/carrier/relay.py
+++ b/src/ebonystile/carrier/relay.py
@@ -48,14 +48,14 @@
         self.items: dict[str, entries.Item] = {}
         self.history: collections.deque[entries.Item] = collections.deque(maxlen=MAX_HISTORY_ITEMS)
         self.revision = 0
-        self.floor = 0
+        self.oldest_revision = 0
         self.pending_watches: list[PendingWatch] = []
         self.server = pages.Server(event_loop, address, self.on_request)
 
     def restart(self, revision: int) -> None:
         """Restart the history at the revision of a list; watches from before it get 410."""
         self.history.clear()
-        self.floor = revision
+        self.oldest_revision = revision
         self.revision = max(self.revision, revision)
 
     def add_item(self, item: entries.Item) -> None:
@@ -65,7 +65,7 @@
         else:
             self.items[item.key] = item
         if len(self.history) == MAX_HISTORY_ITEMS:
-            self.floor = self.history[0].revision
+            self.oldest_revision = self.history[0].revision
         self.history.append(item)
 
     def advance(self, revision: int) -> None:
@@ -79,7 +79,7 @@
         for watch in watches:
             self.answer_or_keep(watch, answers[watch.revision])
 
-    def expire(self, now: int) -> None:
+    def expire_watches(self, now: int) -> None:
         """Answer the watches past their deadline, and all of them once the store is lost."""
         if not self.pending_watches:
             return
@@ -103,7 +103,7 @@
             self.answer_or_keep(
                 PendingWatch(connection, revision, deadline), self.watch_answer(revision)
             )
-            self.event_loop.at(deadline, lambda: self.expire(clock.now()))
+            self.event_loop.at(deadline, lambda: self.expire_watches(clock.now()))
         elif path == store.RANGE_PATH:
             connection.answer(self.list_page(fields.get("prefix", ""), fields.get("after", "")))
         else:
@@ -120,7 +120,7 @@
         """Return the answer to a watch from this revision, None if nothing has changed since."""
         if not self.is_direct():
             return pages.Response(503)
-        if revision < self.floor:
+        if revision < self.oldest_revision:
             return pages.Response(410)
         if any(item.revision > revision for item in self.history):
             return self.changes_since(revision)
--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -31,7 +31,7 @@
 packet that waits longer, so a larger buffer would only delay newer packets."""
 
 
-def suspended_ns() -> int:
+def read_suspended_ns() -> int:
     """Return for how long the instance has been suspended since its boot, in ns."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
 
@@ -46,13 +46,15 @@
         self.loop = loop.Loop()
         self.feed = feed.StoreFeed(self.loop, settings, self.log, self.on_view)
         self.peer_socket = self.loop.listen(settings.internal, self.on_datagram, BUFFER_BYTES)
-        self.pages = pages.Server(self.loop, entries.address_of(settings.ready), self.on_request)
+        self.readiness_server = pages.Server(
+            self.loop, entries.address_of(settings.ready), self.on_request
+        )
         self.report = report.Report(self.loop, self.log, self.counts, self.feed, self.add_metrics)
         if settings.metrics:
             self.report.serve(settings.metrics)
         self.leaving_since: int | None = None
         self.last_tick = clock.now()
-        self.last_suspended_ns = suspended_ns()
+        self.last_suspended_ns = read_suspended_ns()
         self.last_settings_stamp = settings_stamp()
         self.loop.every(TICK_MS, self.tick)
         loop.on_signals(self.loop, self.leave, self.log_signal)
@@ -122,18 +124,18 @@
         for effect in todo:
             EFFECT_HANDLERS[type(effect)](effect, self)
 
-    def to_upstream(self, raw: bytes) -> None:
+    def send_to_upstream(self, raw: bytes) -> None:
         """Send a packet to the upstream; only a sidecar has one."""
         raise NotImplementedError
 
-    def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
+    def send_to_caller(self, raw: bytes, flow: packet.Flow) -> None:
         """Send a packet to the flow's caller."""
         raise NotImplementedError
 
     def tick(self) -> None:
         """Detect a pause and changed settings, then run the core's periodic work."""
         now = clock.now()
-        suspended = suspended_ns()
+        suspended = read_suspended_ns()
         gap = now - self.last_tick
         if gap > PAUSE_MS or suspended - self.last_suspended_ns > SUSPENDED_NS:
             # Routes may have been dropped and upstreams replaced during the pause.
@@ -193,7 +195,7 @@
 def do_reset(effect: effects.Reset, shell: Shell) -> None:
     """Send a reset to the flow's caller."""
     shell.counts["resets"] += 1
-    shell.to_caller(packets.make_reset(effect.flow, effect.position), effect.flow)
+    shell.send_to_caller(packets.make_reset(effect.flow, effect.position), effect.flow)
 
 
 def do_trace(effect: effects.Trace, shell: Shell) -> None:
@@ -207,8 +209,10 @@
 
 EFFECT_HANDLERS: dict[type, abc.Callable] = {
     effects.Send: do_send,
-    effects.ToUpstream: lambda effect, shell: shell.to_upstream(effect.raw),
-    effects.ToCaller: lambda effect, shell: shell.to_caller(effect.packet.raw, effect.packet.flow),
+    effects.ToUpstream: lambda effect, shell: shell.send_to_upstream(effect.raw),
+    effects.ToCaller: lambda effect, shell: shell.send_to_caller(
+        effect.packet.raw, effect.packet.flow
+    ),
     effects.Reset: do_reset,
     effects.Reread: lambda effect, shell: shell.feed.schedule_read(effect.version),
     effects.ReadFrom: lambda effect, shell: shell.feed.add_source(effect.address),
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -84,11 +84,11 @@
         self.core.leaving = True
         self.loop.at(clock.now() + LEAVE_MS, self.loop.stop)
 
-    def to_upstream(self, raw: bytes) -> None:
+    def send_to_upstream(self, raw: bytes) -> None:
         """Send a packet to the upstream."""
         self.counts["packets_in"] += 1
         loop.send(self.outbound, raw, self.upstream)
 
-    def to_caller(self, raw: bytes, flow: packet.Flow) -> None:
+    def send_to_caller(self, raw: bytes, flow: packet.Flow) -> None:
         """Send a packet to the flow's caller."""
         loop.send(self.outbound, raw, (packet.caller_host(flow), self.caller_port))
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -166,11 +166,11 @@
         body.version,
         (route_of(route) for route in body.routes),
         body.limits.idle_timeout_ms,
-        {service.name: warm_up_of(service) for service in body.services},
+        {service.name: slow_start_of(service) for service in body.services},
     )
 
 
-def warm_up_of(body: ServiceBody) -> warming.SlowStart:
+def slow_start_of(body: ServiceBody) -> warming.SlowStart:
     """Return the slow start of a service's upstreams."""
     return warming.SlowStart(int(body.warmup_s * 1_000), body.warmup_per_s)
 
--- a/src/ebonystile/platform/store.py
+++ b/src/ebonystile/platform/store.py
@@ -51,12 +51,12 @@
 Result = Listed | Watched | HistoryLost
 
 
-def path_of(call: reading.Call, now: int) -> str:
+def build_path(call: reading.Call, now: int) -> str:
     """Return the path and query of a call made at `now` (ms)."""
-    old = ALLOW_STALE if call.allow_stale else ""
+    allow_stale = ALLOW_STALE if call.allow_stale else ""
     if call.kind is not reading.Kind.WATCH:
         after = f"&after={quote_key(call.after)}" if call.after else ""
-        return f"{RANGE_PATH}?prefix={PREFIXES[call.kind]}{after}{old}"
+        return f"{RANGE_PATH}?prefix={PREFIXES[call.kind]}{after}{allow_stale}"
     wait = max(0, call.wait_until - now)
     prefix = entries.ALL_PREFIX
     return f"{WATCH_PATH}?prefix={prefix}&after={call.revision}&wait_ms={wait}"
--- a/tests/carrier/test_feed.py
+++ b/tests/carrier/test_feed.py
@@ -73,7 +73,7 @@
 
 def test_a_drained_zone_is_known_before_any_upstream_is(made):
     """What operators wrote comes in one list, and that of upstreams only after it."""
-    path = store.path_of(made.reader.next_call(clock.now()), clock.now())
+    path = store.build_path(made.reader.next_call(clock.now()), clock.now())
     assert "prefix=op/" in path
     operators(made, [configuration(), item(DRAINED, 6, {})], 9)
     assert made.fleet.drained == {"umea"} and not made.fleet.upstreams
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -31,7 +31,7 @@
         now = clock.now()
         call = reading.Call(kind, now + limit, wait_until=now + 300, **more)
         self.client.get(
-            store.path_of(call, now),
+            store.build_path(call, now),
             call.deadline,
             lambda status, body: self.results.append((call, status, body)),
             lambda reason: self.results.append((call, 0, reason)),
@@ -120,7 +120,7 @@
     bench.get(reading.Kind.WATCH, revision=10)
     bench.step_until(lambda: bench.relay.pending_watches)
     bench.direct = False
-    bench.relay.expire(clock.now())
+    bench.relay.expire_watches(clock.now())
     assert bench.status() == 503
     bench.get(reading.Kind.WATCH, revision=10)
     assert bench.status() == 503
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -145,7 +145,7 @@
     asked = call(reading.Kind.ENTRIES)
     result = store.parse_result(asked, 200, json.dumps(body).encode())
     assert result.next_after == "servers/i 1" and result.revision == 9
-    path = store.path_of(call(reading.Kind.ENTRIES, after=result.next_after), 0)
+    path = store.build_path(call(reading.Kind.ENTRIES, after=result.next_after), 0)
     assert path == "/-/kv-range?prefix=servers/&after=servers%2Fi%201"
 
 
@@ -160,7 +160,7 @@
     asked = call(reading.Kind.WATCH, revision=411, wait_until=5_000)
     result = store.parse_result(asked, 200, json.dumps(body).encode())
     assert [i.tombstone for i in result.items] == [False, True]
-    assert store.path_of(asked, 1_000).endswith("after=411&wait_ms=4000")
+    assert store.build_path(asked, 1_000).endswith("after=411&wait_ms=4000")
 
 
 def test_a_store_that_has_forgotten_is_told_from_one_that_fails():
