--- a/src/ebonystile/carrier/__main__.py
+++ b/src/ebonystile/carrier/__main__.py
@@ -48,7 +48,9 @@
         return sidecar.Daemon(settings)
     from ebonystile import errors
 
-    raise errors.UserError("say balancer or sidecar", step="start", peer="command line")
+    raise errors.UserError(
+        "expected one argument: balancer or sidecar", step="start", peer="command line"
+    )
 
 
 if __name__ == "__main__":
--- a/src/ebonystile/carrier/calls.py
+++ b/src/ebonystile/carrier/calls.py
@@ -112,7 +112,7 @@
         except OSError as error:
             self.on_connection_lost(error.strerror or str(error))
         except httptools.HttpParserError as error:
-            self.fail(f"not HTTP: {error}")
+            self.fail(f"malformed HTTP answer: {error}")
 
     def send(self) -> None:
         """Send as much as the socket buffer takes."""
@@ -189,7 +189,7 @@
         if now >= self.pending.deadline:
             self.fail("no answer in time")
         elif first_byte_by is not None and not self.pending.has_begun and now >= first_byte_by:
-            self.fail("no answer has begun in time")
+            self.fail("no first byte of an answer in time")
 
     def cancel(self) -> None:
         """Cancel the call in progress; neither callback is called."""
--- a/src/ebonystile/platform/entries.py
+++ b/src/ebonystile/platform/entries.py
@@ -155,7 +155,9 @@
     parts = host.split(".")
     numbers = [int(p) for p in parts if p.isascii() and p.isdigit() and len(p) <= 3]
     if len(numbers) != 4 or len(parts) != 4 or max(numbers) > 255 or not port.isdigit():
-        raise errors.PlatformError(f'"{text}" is no address', step=STEP, peer="platform")
+        raise errors.PlatformError(
+            f'"{text}" is not an IPv4 address and a port', step=STEP, peer="platform"
+        )
     return host
 
 
@@ -181,8 +183,8 @@
     shares = shares or ((body.service, 1),)
     port = body.prefix.strip("/")
     if not port.isdigit() or not 0 < int(port) < 65_536:
-        fault = f'route {body.name}: "{body.prefix}" is no port'
-        raise errors.PlatformError(fault, step=STEP, peer="platform")
+        reason = f'route "{body.name}": "{body.prefix}" is not a port between slashes'
+        raise errors.PlatformError(reason, step=STEP, peer="platform")
     host = host_of(f"{body.host}:{port}")
     return host, int(port), routes.Route(body.name, shares, tuple(body.allowed_regions or ()))
 
@@ -191,7 +193,7 @@
     """Return the zone that a drain key names; raise `PlatformError` if it names none."""
     zone = key.removeprefix(DRAINED_PREFIX)
     if not zone:
-        raise errors.PlatformError(f'"{key}" names no zone', step=STEP, peer="platform")
+        raise errors.PlatformError(f'key "{key}" names no zone', step=STEP, peer="platform")
     return zone
 
 
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -172,7 +172,7 @@
         started = clock.now()
         made.get(reading.Kind.ENTRIES, limit=2_000, begin=200)
         made.step_until(lambda: made.results)
-        assert made.results[0][2] == "no answer has begun in time"
+        assert made.results[0][2] == "no first byte of an answer in time"
         assert 150 <= clock.now() - started < 1_500
 
 
