--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -33,23 +33,23 @@
     addresses.update(state.membership.address_of(name) for name in names)
     addresses.discard(state.membership.own.address)
     for address in sorted(addresses):
-        catch_up.asked[probing.send_probe(state, address, "", now)] = address
+        catch_up.pending_answers[probing.send_probe(state, address, "", now)] = address
 
 
 def on_gossip(state: gossip_state.GossipState, message: control.Gossip) -> None:
     """Count the answer of a peer, unless that peer is itself catching up."""
     catch_up = state.catch_up
-    if catch_up is None or catch_up.asked.pop(message.answers, None) is None:
+    if catch_up is None or catch_up.pending_answers.pop(message.answers, None) is None:
         return
     if message.caught_up:
         catch_up.peers_answered += 1
-    catch_up.highest = catch_up.highest.join(gossip_state.digest_of(message))
+    catch_up.highest_digest = catch_up.highest_digest.join(gossip_state.digest_of(message))
 
 
 def on_platform(state: gossip_state.GossipState, stream: str, answered: bool) -> None:
     """Record whether the platform answered for a stream."""
     if state.catch_up is not None:
-        state.catch_up.platform[stream] = answered
+        state.catch_up.platform_answered[stream] = answered
 
 
 def on_tick(state: gossip_state.GossipState, now: int) -> None:
@@ -62,15 +62,15 @@
     catch_up = state.catch_up
     if catch_up is None:
         return
-    by_platform = all(catch_up.platform.get(name) for name in watching.STREAMS)
-    waiting = catch_up.asked or len(catch_up.platform) < len(watching.STREAMS)
-    late = now >= catch_up.until
-    if waiting and not late:
+    by_platform = all(catch_up.platform_answered.get(name) for name in watching.STREAMS)
+    waiting = catch_up.pending_answers or len(catch_up.platform_answered) < len(watching.STREAMS)
+    timed_out = now >= catch_up.deadline
+    if waiting and not timed_out:
         return
-    behind = state.configuration.digest.is_behind(catch_up.highest)
+    behind = state.configuration.digest.is_behind(catch_up.highest_digest)
     if not behind and (by_platform or catch_up.peers_answered):
         finish_catch_up(state, by_platform)
-    elif late:
+    elif timed_out:
         if catch_up.rounds == 0:
             reason = "a peer shows more" if behind else "neither the platform nor a peer answers"
             state.trace("catch_up_waiting", reason=reason)
@@ -88,4 +88,4 @@
         peers=state.catch_up.peers_answered,
     )
     state.catch_up = None
-    state.changed = True
+    state.view_changed = True
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -100,11 +100,11 @@
         limits,
         randomness,
         tuple(seed for seed in seeds if seed != address),
-        last_at=now,
+        last_event_at=now,
         started_at=now,
         received_at=now,
         update_budget=budget.Budget(limits.update_bytes_per_s, limits.update_burst_bytes),
-        catch_up=gossip_state.CatchUp(until=now),
+        catch_up=gossip_state.CatchUp(deadline=now),
     )
     state.membership.listed = state.configuration.instances.entries
     state.streams = {name: gossip_state.Stream(name) for name in watching.STREAMS}
@@ -116,8 +116,8 @@
     """Handle one event at time `now` (ms) and return the effects, in order."""
     detect_pause(state, now)
     on_event(event, state, now)
-    if state.changed and state.is_caught_up:
-        state.changed = False
+    if state.view_changed and state.is_caught_up:
+        state.view_changed = False
         state.pending.append(gossip_state.ViewInForce())
     taken = state.pending
     state.pending = []
@@ -130,8 +130,8 @@
     A running process ticks every 100 ms, so a long gap means that it was stopped. Probes and calls
     under way are dropped: their answers may have arrived and been lost during the pause.
     """
-    gap = now - state.last_at
-    state.last_at = max(state.last_at, now)
+    gap = now - state.last_event_at
+    state.last_event_at = max(state.last_event_at, now)
     if gap <= state.limits.max_pause_ms:
         return
     state.trace("woke", gap_ms=gap)
@@ -149,7 +149,7 @@
 @functools.singledispatch
 def on_event(event, state: gossip_state.GossipState, now: int) -> None:
     """Handle one event."""
-    raise TypeError(f"no rule for {type(event).__name__}")
+    raise TypeError(f"no handler for {type(event).__name__}")
 
 
 @on_event.register
@@ -217,7 +217,7 @@
 @functools.singledispatch
 def on_message(message, state: gossip_state.GossipState, address: view.Address, now: int) -> None:
     """Handle one message of another process."""
-    raise TypeError(f"no rule for {type(message).__name__}")
+    raise TypeError(f"no handler for {type(message).__name__}")
 
 
 @on_message.register
--- a/src/ebonystile/core/control/gossip_state.py
+++ b/src/ebonystile/core/control/gossip_state.py
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewStale:
-    """Stop using the view until the next `InForce`: it may be out of date."""
+    """Stop using the view until the next `ViewInForce`: it may be out of date."""
 
 
 Effect = SendMessage | WatchPlatform | Fetch | ViewInForce | ViewStale | effects.Trace
@@ -117,7 +117,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """The state of the calls for one of the platform's two streams, of which one runs at a time.
+    """The calls for one of the platform's two streams; at most one runs at a time.
 
     `confirmed_at` is when the platform last answered with a revision not below the known one.
     """
@@ -152,24 +152,32 @@
 class CatchUp:
     """The answers that a process collects after a start or a pause before it uses its view."""
 
-    until: int
-    asked: dict[int, view.Address] = dataclasses.field(default_factory=dict)
+    deadline: int
+    pending_answers: dict[int, view.Address] = dataclasses.field(default_factory=dict)
     peers_answered: int = 0
-    highest: configuration.Digest = configuration.Digest()
-    platform: dict[str, bool] = dataclasses.field(default_factory=dict)
+    highest_digest: configuration.Digest = configuration.Digest()
+    platform_answered: dict[str, bool] = dataclasses.field(default_factory=dict)
     rounds: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class GossipState:
-    """The state of configuration distribution in one process."""
+    """The state of gossip in one process.
+
+    `platform_confirmed_at` is the latest time at which the platform is known to have confirmed the
+    configuration; `own_confirmed_at` and `peers_confirmed_at` are its parts from own calls and from
+    peers' messages. `received_at` is when the last message of a peer arrived. `exchange_at`,
+    `push_at`, `pull_at` and the like are when that is due next. `peers_ahead` are the peers with
+    higher revisions; `indirect_probes` are, by the name of the probed process, the process that
+    asked for the probe and a deadline.
+    """
 
     membership: membership.Membership
     configuration: configuration.Configuration
     limits: Limits
     randomness: rng.Rng
     seeds: tuple[view.Address, ...]
-    last_at: int
+    last_event_at: int
     started_at: int
     streams: dict[str, Stream] = dataclasses.field(default_factory=dict)
     platform_confirmed_at: int = 0
@@ -183,7 +191,7 @@
     zone_peers: list[str] = dataclasses.field(default_factory=list)
     balancers: list[str] = dataclasses.field(default_factory=list)
     sidecars: list[str] = dataclasses.field(default_factory=list)
-    peers_at: int = 0
+    refresh_peers_at: int = 0
     peers_stale: bool = True
     exchange_at: int = 0
     push_at: int = 0
@@ -197,7 +205,7 @@
     indirect_probes: dict[str, tuple[view.Address, int]] = dataclasses.field(default_factory=dict)
     catch_up: CatchUp | None = None
     update_budget: budget.Budget = dataclasses.field(default_factory=lambda: budget.Budget(1, 1))
-    changed: bool = False
+    view_changed: bool = False
     pending: list[Effect] = dataclasses.field(default_factory=list)
 
     @property
@@ -246,7 +254,7 @@
         )
 
     def note_platform_confirmed(self, as_of: int, now: int) -> None:
-        """Take over a peer's time of the platform's last confirmation, capped by `SKEW_BOUND`."""
+        """Take over a peer's time of the platform's last confirmation, capped by `MAX_SKEW_MS`."""
         as_of = min(as_of, now + MAX_SKEW_MS)
         self.platform_confirmed_at = max(self.platform_confirmed_at, as_of)
         if as_of > self.own_confirmed_at:
@@ -266,7 +274,7 @@
                 self.membership.mark_gone(name, now)
             self.configuration.set_override(name, self.membership.override_for(name))
         self.peers_stale = self.peers_stale or bool(changes.instances)
-        self.changed = True
+        self.view_changed = True
         gap = self.limits.push_gap_ms if changes.keys else self.limits.list_push_gap_ms
         due = max(now, self.pushed_at + gap)
         self.push_at = min(self.push_at or due, due)
@@ -279,14 +287,14 @@
             override = self.membership.override_for(name)
             if override != before:
                 self.configuration.set_override(name, override)
-                self.changed = True
+                self.view_changed = True
 
     def refresh_peers(self, now: int) -> None:
         """Rebuild the lists of peers by role; not often, as it visits every instance."""
-        if not self.peers_stale or now < self.peers_at:
+        if not self.peers_stale or now < self.refresh_peers_at:
             return
         self.peers_stale = False
-        self.peers_at = now + PEERS_REFRESH_MS
+        self.refresh_peers_at = now + PEERS_REFRESH_MS
         self.rank_expires_at = 0
         self.balancers = self.membership.names_of_role("balancer")
         self.sidecars = self.membership.names_of_role("upstream")
--- a/src/ebonystile/core/control/membership.py
+++ b/src/ebonystile/core/control/membership.py
@@ -198,8 +198,8 @@
         """
         if statement.rank <= self.own.rank:
             return False
-        accused = statement.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if accused or now - self.started_at < self.limits.suspect_timeout_ms:
+        is_suspected = statement.state in (MemberState.SUSPECT, MemberState.DEAD)
+        if is_suspected or now - self.started_at < self.limits.suspect_timeout_ms:
             self.own = dataclasses.replace(self.own, generation=statement.generation + 1)
             self.queue_update(self.own.name)
             return True
@@ -291,8 +291,8 @@
     def names_of_role(self, role: str) -> list[str]:
         """Return all names of a role, listed or by their statements, without this process."""
         listed = (n for n, e in self.listed.items() if e.value and e.value.role == role)
-        said = (n for n, m in self.members.items() if m.statement.role == role)
-        return sorted({*listed, *said} - {self.own.name})
+        by_statement = (n for n, m in self.members.items() if m.statement.role == role)
+        return sorted({*listed, *by_statement} - {self.own.name})
 
 
 def make_membership(
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -8,7 +8,7 @@
 """Peers asked to probe one that does not answer."""
 
 ANY_PEER_SHARE = 0.2
-"""Share of exchanges that may go to peers counted as dead, so that a healed partition rejoins."""
+"""Share of exchanges that may go to dead peers, by which the fleet rejoins after a partition."""
 
 OTHER_ROLE_SHARE = 0.125
 """Share of a balancer's exchanges that go to sidecars."""
@@ -19,7 +19,7 @@
 SIDECAR_INTERVAL_FACTOR = 4
 """Multiple of the exchange interval for sidecars: they are many and no source of newer state."""
 
-PRUNE_MS = 2_000
+PRUNE_INTERVAL_MS = 2_000
 MAX_INDIRECT_PROBES = 256
 MAX_GENERATION = 1 << 63
 
@@ -38,7 +38,7 @@
         state.pushed_at = now
         push_to_random(state)
     if now >= state.prune_at:
-        state.prune_at = now + PRUNE_MS
+        state.prune_at = now + PRUNE_INTERVAL_MS
         state.note_members(state.membership.prune(now))
         for name in [n for n, (_, until) in state.indirect_probes.items() if now >= until]:
             del state.indirect_probes[name]
@@ -95,8 +95,8 @@
     statement = state.membership.statement_of(name)
     if statement is None:
         return None
-    accused = statement.state >= membership.MemberState.SUSPECT
-    return statement if accused or statement.generation > generation else None
+    is_suspected = statement.state >= membership.MemberState.SUSPECT
+    return statement if is_suspected or statement.generation > generation else None
 
 
 def push_to_random(state: gossip_state.GossipState) -> None:
@@ -105,9 +105,9 @@
         state.send(state.membership.address_of(name), state.make_gossip())
 
 
-def pick_usable(state: gossip_state.GossipState, count: int, banned: str) -> list[str]:
+def pick_usable(state: gossip_state.GossipState, count: int, excluded: str) -> list[str]:
     """Return up to `count` random balancers that are usable."""
-    names = membership.pick_random(state.balancers, 2 * count, state.randomness, {banned})
+    names = membership.pick_random(state.balancers, 2 * count, state.randomness, {excluded})
     return [name for name in names if state.membership.is_usable(name)][:count]
 
 
@@ -127,8 +127,8 @@
     deadline = now + 3 * state.limits.answer_timeout_ms
     state.probes[nonce] = gossip_state.Probe(probe.name, deadline, indirect=True)
     for name in pick_usable(state, INDIRECT_PROBERS, probe.name):
-        question = control.ProbeFor(probe.name, address)
-        state.send(state.membership.address_of(name), question)
+        request = control.ProbeFor(probe.name, address)
+        state.send(state.membership.address_of(name), request)
 
 
 def on_probe_for(
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -54,7 +54,7 @@
     wait = watch_duration_ms(state, now)
     if wait is None:
         return
-    answered = state.catch_up.platform if state.catch_up is not None else {}
+    answered = state.catch_up.platform_answered if state.catch_up is not None else {}
     for stream in state.streams.values():
         if answered.get(stream.name):
             continue
@@ -63,7 +63,11 @@
 
 
 def watch_duration_ms(state: gossip_state.GossipState, now: int) -> int | None:
-    """Return how long calls by this process should wait for changes (ms), or None for no calls."""
+    """Return how long calls by this process should wait for changes (ms), or None for no calls.
+
+    A process that is no watcher makes single calls at a low rate while the confirmation is old, and
+    long watches if it receives nothing from any peer.
+    """
     limits = state.limits
     if state.catch_up is not None:
         return 0
