--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -57,7 +57,7 @@
         self.core.revision = self.feed.reader.revision or 0
         self.core.announcer.relays = self.feed.sources.announces_relay
         now = clock.now()
-        self.core.view_changed(now)
+        self.core.on_view(now)
         self.apply_effects(self.core.announce(now))
 
     def on_upstream(self, data: bytes, source: view.Address) -> None:
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -338,7 +338,7 @@
             route is None or service not in route.services
         ):
             self.found.append("a flow opened against the newest configuration, which was known")
-        own = node.core.own
+        own = node.core.listed_upstream
         if node.zone in node.core.fleet.drained:
             self.found.append("a flow opened in a zone that its sidecar knows to be drained")
         if own is not None and own.leaving:
@@ -432,7 +432,7 @@
             if core.searches or core.queued or core.homes or core.open_flow_searches:
                 self.found.append("a balancer keeps something of flows that are over")
         for node in self.sidecars:
-            if node.alive and (node.core.table.flows or node.core.probed):
+            if node.alive and (node.core.table.flows or node.core.pending_probes):
                 self.found.append("a sidecar keeps something of flows that are over")
 
 
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -73,7 +73,7 @@
     caller = scene.open(zone=node.zone)
     home = scene.home_of(caller)
     scene.restart_sidecar(home)
-    assert home.core.incomplete(scene.now)
+    assert home.core.has_unseen_flows(scene.now)
     scene.restart_balancer(caller.through)
     scene.ask(caller, b"again")
     scene.run(500)
@@ -90,7 +90,7 @@
     node = scene.sidecars[0]
     scene.entry(node, slow_start_until=scene.now + 2_000)
     scene.restart_sidecar(node)
-    assert node.core.incomplete(scene.now)
+    assert node.core.has_unseen_flows(scene.now)
 
 
 def test_many_callers_of_a_large_fleet_are_told_soon_after_a_loss_of_everything():
@@ -247,7 +247,7 @@
     scene.run(400)
     assert caller.resets == 0 and caller.answer.endswith(b"again")
     scene.run(300)
-    assert home.core.incomplete(scene.now)
+    assert home.core.has_unseen_flows(scene.now)
 
 
 def test_a_sidecar_that_read_an_old_list_first_still_knows_that_its_upstream_is_new():
@@ -262,11 +262,11 @@
     core = node.core = sidecar.Sidecar(node.address, "s", scene.now)
     for entry in (*scene.lapsing, *scene.entry_of.values()):
         core.fleet.put(entry)
-    core.view_changed(scene.now)
-    assert core.incomplete(scene.now)
+    core.on_view(scene.now)
+    assert core.has_unseen_flows(scene.now)
     core.is_view_current = True
-    core.view_changed(scene.now)
-    assert not core.incomplete(scene.now)
+    core.on_view(scene.now)
+    assert not core.has_unseen_flows(scene.now)
 
 
 def test_flows_shown_to_many_upstreams_share_their_messages():
@@ -320,7 +320,7 @@
     [node] = scene.balancers
     for sidecar_node in scene.sidecars:
         sidecar_node.core.revision = 8
-        sidecar_node.core.grown_at = scene.now + 10 * SECOND
+        sidecar_node.core.list_grown_at = scene.now + 10 * SECOND
     node.core.revision = 7
     view_begins(scene)
     scene.ask(caller, b"again")
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -395,10 +395,10 @@
     scene = world.World(upstreams=2)
     node = scene.sidecars[0]
     scene.restart_sidecar(node)
-    assert node.core.incomplete(scene.now)
+    assert node.core.has_unseen_flows(scene.now)
     scene.entry(node, name="u9", slow_start_until=scene.now + 2_000)
     scene.known()
-    assert not node.core.incomplete(scene.now)
+    assert not node.core.has_unseen_flows(scene.now)
 
 
 def test_an_entry_that_is_back_after_a_loss_of_power_is_no_new_upstream():
@@ -415,7 +415,7 @@
     scene.restart_sidecar(home)
     scene.entry_of[home.address] = entry
     scene.known()
-    assert home.core.incomplete(scene.now)
+    assert home.core.has_unseen_flows(scene.now)
     scene.restart_balancer(caller.through)
     scene.ask(caller, b"again")
     scene.run(500)
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -117,7 +117,7 @@
                 node.core.set_view_current(True, self.now - balancer_state.MIN_VIEW_AGE_MS - 1)
             else:
                 node.core.is_view_current = True
-                node.core.view_changed(self.now)
+                node.core.on_view(self.now)
 
     def entry(self, node, **changes):
         """Change a sidecar's upstream's entry; None as `gone` drops it."""
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -420,19 +420,19 @@
     Mutation(
         "absent flows are probed once",
         CORE + "carrying/sidecar.py",
-        "if received.flow in self.absent or not self.incomplete(now):",
+        "if received.flow in self.absent or not self.has_unseen_flows(now):",
         "if False:",
     ),
     Mutation(
         "an upstream that only the store can't hear keeps its flows",
         CORE + "carrying/sidecar.py",
-        "if not record.delivered_at or self.heard_at >= record.delivered_at:",
+        "if not record.delivered_at or self.upstream_sent_at >= record.delivered_at:",
         "if False:",
     ),
     Mutation(
         "silent upstream left out",
         CORE + "carrying/sidecar.py",
-        "return now - self.tried_at < RETRY_MS",
+        "return now - self.last_trial_at < TRIAL_INTERVAL_MS",
         "return False",
     ),
     Mutation(
@@ -577,8 +577,8 @@
     Mutation(
         "an upstream that answers a probe is not gone",
         CORE + "carrying/sidecar.py",
-        "        self.probed_since = None\n        self.heard_at = now\n",
-        "        self.heard_at = now\n",
+        "        self.probed_since = None\n        self.upstream_sent_at = now\n",
+        "        self.upstream_sent_at = now\n",
     ),
     Mutation(
         "witnesses agree",
@@ -589,8 +589,8 @@
     Mutation(
         "a growing list confirms nothing",
         CORE + "carrying/sidecar.py",
-        "return max(0, now - max(self.started_at, self.grown_at)) if self.is_view_current else 0",
-        "return max(0, now - self.started_at) if self.is_view_current else 0",
+        "now - max(self.started_at, self.list_grown_at)",
+        "now - self.started_at",
     ),
     Mutation(
         "few upstreams probed before the view is confirmed",
@@ -670,7 +670,7 @@
     Mutation(
         "a cold upstream gets what it bears",
         CORE + "carrying/sidecar.py",
-        "    if not sidecar.room(now):\n        return messages.Reason.COLD\n",
+        "    if not sidecar.has_capacity(now):\n        return messages.Reason.COLD\n",
         "",
     ),
     Mutation(
