--- a/src/ebonystile/core/calls/balancer.py
+++ b/src/ebonystile/core/calls/balancer.py
@@ -14,10 +14,10 @@
 from ebonystile.core.placing import ranking
 from ebonystile.peer import messages
 
-RETRY_OPEN = 500
+MIN_OPEN_RETRY_MS = 500
 """Shortest time in ms after which a caller is asked to open again; up to twice that."""
 
-ELSEWHERE_SHARE = 0.25
+RANDOM_START_SHARE = 0.25
 """Share of packets without a reachable home that start their walk at a random upstream."""
 
 FROM_CALLER_KINDS = frozenset(caller_messages.FROM_CALLER.by_kind)
@@ -90,13 +90,13 @@
         return Drop("malformed")
     if kind == caller_messages.Open.KIND:
         return route_open(balancer, caller, payload, items, now)
-    target = target_of(balancer, flow, service_name, token)
+    target = find_sidecar(balancer, flow, service_name, token)
     if isinstance(target, Drop):
         return target
     return Relay(target.address, messages.Forward(caller, balancer.address, (), payload))
 
 
-def target_of(
+def find_sidecar(
     balancer: Balancer, flow: bytes, service_name: str, data: bytes
 ) -> view.Endpoint | Drop:
     """Return the sidecar that the token names, or one at which to start looking for the flow."""
@@ -112,10 +112,10 @@
     service = balancer.view.services.get(service_name)
     if service is None or not service.upstreams:
         return Drop("no_upstream")
-    return start_of_walk(balancer, flow, service)
+    return first_sidecar(balancer, flow, service)
 
 
-def start_of_walk(balancer: Balancer, flow: bytes, service: view.Service) -> view.Endpoint:
+def first_sidecar(balancer: Balancer, flow: bytes, service: view.Service) -> view.Endpoint:
     """Return the sidecar to ask first for a flow whose home is gone.
 
     The first of the ranking is where most flows are opened, or handed to while loads are not known.
@@ -123,7 +123,7 @@
     some begin elsewhere.
     """
     candidates = service.accepting or service.upstreams
-    if balancer.randomness.random() < ELSEWHERE_SHARE:
+    if balancer.randomness.random() < RANDOM_START_SHARE:
         return candidates[balancer.randomness.randrange(len(candidates))]
     return ranking.first(flow, candidates)
 
@@ -168,6 +168,6 @@
 ) -> Reply:
     """Refuse an open, saying when to come back; opening runs nothing, so this is always true."""
     if retry_at is None:
-        retry_at = now + int(RETRY_OPEN * (1 + balancer.randomness.random()))
+        retry_at = now + int(MIN_OPEN_RETRY_MS * (1 + balancer.randomness.random()))
     refusal = caller_messages.OpenRefused(flow, attempt, reason, retry_at)
     return Reply(caller, caller_messages.TO_CALLER.encode(refusal))
--- a/src/ebonystile/core/calls/events.py
+++ b/src/ebonystile/core/calls/events.py
@@ -90,7 +90,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadHeard:
+class LoadReported:
     """A sibling sidecar tells its load."""
 
     report: messages.LoadReport
@@ -101,7 +101,7 @@
     """The upstream was asked for its health; `ok` is False too where it gave no answer."""
 
     ok: bool
-    cold: bool = False
+    in_slow_start: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -7,15 +7,15 @@
 
 ANSWER_ID_BYTES = 8
 
-RETRY_LEAST = 100
+MIN_RETRY_MS = 100
 """Shortest retry delay given to a refused caller, in ms."""
 
 
-def fate(
-    home: sidecar_state.SidecarState, flow: flows.Flow, deadline: int
+def unrecorded_outcome(
+    state: sidecar_state.SidecarState, flow: flows.Flow, deadline: int
 ) -> ledger.RequestState | None:
     """Return the final state of a request without a record, or None if it may be accepted."""
-    forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)
+    forgotten = max(state.ledger.forgotten_before, flow.forgotten_before)
     if deadline <= forgotten:
         return ledger.RequestState.UNKNOWN
     if deadline <= flow.barred_before:
@@ -23,14 +23,14 @@
     return None
 
 
-def retry_time(home: sidecar_state.SidecarState, now: int) -> int:
+def retry_time(state: sidecar_state.SidecarState, now: int) -> int:
     """Return when a refused caller may retry (ms), with jitter against synchronized retries."""
-    wait = max(RETRY_LEAST, home.slots.wait(len(home.slots.queue), now))
-    return now + int(wait * (1 + home.randomness.random()))
+    wait = max(MIN_RETRY_MS, state.slots.wait(len(state.slots.queue), now))
+    return now + int(wait * (1 + state.randomness.random()))
 
 
 def refuse(
-    home: sidecar_state.SidecarState,
+    state: sidecar_state.SidecarState,
     flow: flows.Flow,
     request: bytes,
     deadline: int,
@@ -45,74 +45,74 @@
     full, the flow refuses every request without a record up to that deadline instead.
     """
     if retry_at is None:
-        retry_at = retry_time(home, now)
-    entry = home.ledger.get(flow.id, request)
-    if entry is None and home.ledger.is_full:
+        retry_at = retry_time(state, now)
+    entry = state.ledger.get(flow.id, request)
+    if entry is None and state.ledger.is_full:
         flow.barred_before = max(flow.barred_before, deadline)
     elif entry is None:
-        keep_until = max(deadline, now) + home.limits.ledger_margin
+        keep_until = max(deadline, now) + state.limits.ledger_margin
         entry = ledger.make_tombstone(flow.id, request, flow.service, deadline, keep_until)
-        home.ledger.add(entry)
+        state.ledger.add(entry)
     if entry is not None:
-        forget_parts(home, entry)
+        free_parts(state, entry)
         entry.state = ledger.RequestState.NOT_RUN
         entry.reason = reason
         entry.retry_at = retry_at
-    home.trace("not_run", flow.id, request, reason=reason)
-    home.send_to_flow(flow, messages.NotRun(flow.id, request, reason, retry_at))
+    state.trace("not_run", flow.id, request, reason=reason)
+    state.send_to_flow(flow, messages.NotRun(flow.id, request, reason, retry_at))
 
 
-def forget_parts(home: sidecar_state.SidecarState, entry: ledger.Entry) -> None:
+def free_parts(state: sidecar_state.SidecarState, entry: ledger.Entry) -> None:
     """Free the memory of a request's received parts."""
-    home.upload_bytes -= sum(len(part) for part in entry.parts.values())
+    state.upload_bytes -= sum(len(part) for part in entry.parts.values())
     entry.parts = {}
 
 
-def tell_unknown(
-    home: sidecar_state.SidecarState, flow: flows.Flow, request: bytes, reason: str, now: int
+def send_unknown(
+    state: sidecar_state.SidecarState, flow: flows.Flow, request: bytes, reason: str, now: int
 ) -> None:
     """Send `OutcomeUnknown`: the request may or may not have run."""
-    retry_at = retry_time(home, now)
-    home.send_to_flow(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
+    retry_at = retry_time(state, now)
+    state.send_to_flow(flow, messages.OutcomeUnknown(flow.id, request, reason, retry_at))
 
 
 def on_request(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> None:
     """Process one part of a request."""
-    home.balance.idle_flows.remove(flow.id)
-    entry = home.ledger.get(flow.id, message.request)
+    state.balance.idle_flows.remove(flow.id)
+    entry = state.ledger.get(flow.id, message.request)
     if entry is None:
-        entry = begin(home, flow, message, now)
+        entry = record_new(state, flow, message, now)
         if entry is None:
             return
     if entry.state is ledger.RequestState.RECEIVING:
-        receive(home, flow, entry, message, now)
+        receive_part(state, flow, entry, message, now)
     elif entry.state in ledger.PENDING:
         if message.report:
-            home.send_to_flow(flow, messages.Running(flow.id, entry.request))
+            state.send_to_flow(flow, messages.Running(flow.id, entry.request))
     elif message.report:
-        tell_outcome(home, flow, entry, now)
+        send_outcome(state, flow, entry, now)
 
 
-def begin(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
+def record_new(
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> ledger.Entry | None:
     """Record a request that is new here, or refuse it and return None."""
-    verdict = fate(home, flow, message.deadline)
+    verdict = unrecorded_outcome(state, flow, message.deadline)
     if verdict is ledger.RequestState.UNKNOWN:
-        tell_unknown(home, flow, message.request, "its record may have been dropped", now)
+        send_unknown(state, flow, message.request, "its record may have been dropped", now)
         return None
-    reason = reason_against(home, flow, message, now)
+    reason = refusal_reason(state, flow, message, now)
     if verdict is ledger.RequestState.NOT_RUN:
         reason = "refused while the ledger was full"
-    if message.deadline > now + home.limits.max_deadline:
+    if message.deadline > now + state.limits.max_deadline:
         # `NotRun` needs a tombstone kept until the deadline, which has no bound here. So the
         # request is not run and its outcome is reported as unknown.
-        tell_unknown(home, flow, message.request, "the deadline is too far away", now)
+        send_unknown(state, flow, message.request, "the deadline is too far away", now)
         return None
     if reason:
-        refuse(home, flow, message.request, message.deadline, reason, now)
+        refuse(state, flow, message.request, message.deadline, reason, now)
         return None
     entry = ledger.Entry(
         flow.id,
@@ -123,37 +123,37 @@
         message.idempotent,
         message.parts,
         ledger.RequestState.RECEIVING,
-        message.deadline + home.limits.ledger_margin,
+        message.deadline + state.limits.ledger_margin,
     )
-    home.ledger.add(entry)
+    state.ledger.add(entry)
     return entry
 
 
-def reason_against(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
+def refusal_reason(
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Request, now: int
 ) -> str:
     """Return why a new request cannot be accepted now, or an empty string."""
     if message.deadline <= now:
         return "its deadline has passed"
-    if home.leaving:
+    if state.leaving_reason:
         return "the upstream is leaving"
-    if flow.service not in home.serves:
+    if flow.service not in state.served_services:
         return "the upstream no longer serves the service"
-    if not home.caught_up:
+    if not state.is_caught_up:
         return "the sidecar is catching up"
-    if home.ledger.is_full:
+    if state.ledger.is_full:
         return "the ledger is full"
     if not 0 < message.parts <= messages.MAX_PARTS:
         return "the number of parts is out of bounds"
-    if home.upload_bytes > home.limits.upload_bytes:
+    if state.upload_bytes > state.limits.upload_bytes:
         return "too many uploads are under way"
-    if home.ledger.answer_bytes > home.limits.answers_bytes:
+    if state.ledger.answer_bytes > state.limits.answers_bytes:
         return "too many answers wait for their callers"
     return ""
 
 
-def receive(
-    home: sidecar_state.SidecarState,
+def receive_part(
+    state: sidecar_state.SidecarState,
     flow: flows.Flow,
     entry: ledger.Entry,
     message: messages.Request,
@@ -161,16 +161,16 @@
 ) -> None:
     """Store one part; admit the request once it is complete, else report the missing parts."""
     if message.parts != entry.total or not 0 <= message.part < message.parts:
-        home.trace("dropped", flow.id, entry.request, reason="parts do not fit the request")
+        state.trace("dropped", flow.id, entry.request, reason="parts do not fit the request")
         return
     if message.part not in entry.parts:
         entry.parts[message.part] = message.body
-        home.upload_bytes += len(message.body)
+        state.upload_bytes += len(message.body)
     if len(entry.parts) == entry.total:
-        admit(home, flow, entry, now)
+        admit(state, flow, entry, now)
     elif message.report:
         missing = missing_parts(entry)
-        home.send_to_flow(
+        state.send_to_flow(
             flow, messages.Progress(flow.id, entry.request, len(entry.parts), missing)
         )
 
@@ -187,120 +187,120 @@
 
 
 def admit(
-    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
+    state: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
 ) -> None:
     """Start a complete request, queue it, or refuse it."""
-    if not home.can_start(flow.service):
-        reason = home.leaving or "the upstream does not serve the service now"
-        refuse(home, flow, entry.request, entry.deadline, reason, now)
+    if not state.can_start(flow.service):
+        reason = state.leaving_reason or "the upstream does not serve the service now"
+        refuse(state, flow, entry.request, entry.deadline, reason, now)
         return
-    verdict = home.slots.admit(entry.key, entry.service, entry.deadline, now, home.randomness)
+    verdict = state.slots.admit(entry.key, entry.service, entry.deadline, now, state.randomness)
     if isinstance(verdict, limits.Refuse):
-        refuse(home, flow, entry.request, entry.deadline, verdict.reason, now, verdict.retry_at)
+        refuse(state, flow, entry.request, entry.deadline, verdict.reason, now, verdict.retry_at)
         return
     entry.state = ledger.RequestState.QUEUED
-    home.trace("entered", flow.id, entry.request, path=entry.path)
+    state.trace("entered", flow.id, entry.request, path=entry.path)
     if isinstance(verdict, limits.Run):
-        start(home, entry, now)
+        start(state, entry, now)
     if entry.state is ledger.RequestState.QUEUED or entry.total > 1:
-        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
+        state.send_to_flow(flow, messages.Running(flow.id, entry.request))
 
 
-def start_waiting(home: sidecar_state.SidecarState, now: int) -> None:
+def start_queued(state: sidecar_state.SidecarState, now: int) -> None:
     """Start queued requests while slots are free; refuse those past their deadline."""
-    promoted = home.slots.promote(now, home.randomness)
-    give_up_refused(home, promoted.refused, now)
+    promoted = state.slots.promote(now, state.randomness)
+    send_refusals(state, promoted.refused, now)
     for key in promoted.run:
-        start(home, home.ledger.entries[key], now)
+        start(state, state.ledger.entries[key], now)
 
 
-def give_up_refused(
-    home: sidecar_state.SidecarState, refused: list[limits.Refused], now: int
+def send_refusals(
+    state: sidecar_state.SidecarState, refused: list[limits.Refused], now: int
 ) -> None:
     """Refuse requests that were removed from the queue."""
     for each in refused:
-        entry = home.ledger.entries[each.key]
-        give_up(home, entry, each.answer.reason, now, each.answer.retry_at)
+        entry = state.ledger.entries[each.key]
+        refuse_unstarted(state, entry, each.answer.reason, now, each.answer.retry_at)
 
 
-def start(home: sidecar_state.SidecarState, entry: ledger.Entry, now: int) -> None:
+def start(state: sidecar_state.SidecarState, entry: ledger.Entry, now: int) -> None:
     """Send a request that is already in the ledger to the upstream."""
     entry.state = ledger.RequestState.RUNNING
     entry.started_at = now
     body = b"".join(entry.parts[number] for number in range(entry.total))
-    forget_parts(home, entry)
-    home.trace("started", entry.flow, entry.request)
-    home.emit(
+    free_parts(state, entry)
+    state.trace("started", entry.flow, entry.request)
+    state.emit(
         effects.RunRequest(
             entry.key, entry.service, entry.path, body, entry.deadline, entry.idempotent
         )
     )
 
 
-def give_up(
-    home: sidecar_state.SidecarState,
+def refuse_unstarted(
+    state: sidecar_state.SidecarState,
     entry: ledger.Entry,
     reason: str,
     now: int,
     retry_at: int | None = None,
 ) -> None:
     """Refuse a recorded request that has not started, even if its flow was closed meanwhile."""
-    flow = home.flows.get(entry.flow)
+    flow = state.flows.get(entry.flow)
     if flow is not None:
-        refuse(home, flow, entry.request, entry.deadline, reason, now, retry_at)
+        refuse(state, flow, entry.request, entry.deadline, reason, now, retry_at)
         return
-    forget_parts(home, entry)
+    free_parts(state, entry)
     entry.state = ledger.RequestState.NOT_RUN
     entry.reason = reason
-    entry.retry_at = retry_time(home, now) if retry_at is None else retry_at
+    entry.retry_at = retry_time(state, now) if retry_at is None else retry_at
 
 
-def give_up_queued(
-    home: sidecar_state.SidecarState, services: set[str] | None, reason: str, now: int
+def refuse_queued(
+    state: sidecar_state.SidecarState, services: set[str] | None, reason: str, now: int
 ) -> None:
     """Refuse the queued requests of the services, or of all services if None."""
-    refused = home.slots.refuse_queued(reason, now, home.randomness, services)
-    give_up_refused(home, refused, now)
+    refused = state.slots.refuse_queued(reason, now, state.randomness, services)
+    send_refusals(state, refused, now)
 
 
-def finish(home: sidecar_state.SidecarState, event: events.Finished, now: int) -> None:
+def finish(state: sidecar_state.SidecarState, event: events.Finished, now: int) -> None:
     """Record an answer, send its first window of parts, and start queued requests."""
-    entry = home.ledger.entries.get(event.key)
+    entry = state.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.RequestState.RUNNING:
         return
-    home.slots.finish(entry.key, limits.Outcome.DONE, now)
-    siblings.note_result(home, True, now)
-    if len(event.body) > home.limits.answer_bytes:
-        settle_failed(home, entry, "the answer is too large", True, 0, now)
+    state.slots.finish(entry.key, limits.Outcome.DONE, now)
+    siblings.record_result(state, True, now)
+    if len(event.body) > state.limits.answer_bytes:
+        record_failure(state, entry, "the answer is too large", True, 0, now)
     else:
         entry.state = ledger.RequestState.ANSWERED
-        answer = home.randomness.randbytes(ANSWER_ID_BYTES)
-        home.ledger.hold_answer(entry, answer, event.body)
+        answer = state.randomness.randbytes(ANSWER_ID_BYTES)
+        state.ledger.hold_answer(entry, answer, event.body)
         entry.status = event.status
-        entry.keep_until = max(entry.keep_until, now + home.limits.ledger_margin)
-        home.trace("answered", entry.flow, entry.request, status=event.status)
-        flow = home.flows.get(entry.flow)
+        entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin)
+        state.trace("answered", entry.flow, entry.request, status=event.status)
+        flow = state.flows.get(entry.flow)
         if flow is not None:
-            tell_outcome(home, flow, entry, now)
-    start_waiting(home, now)
+            send_outcome(state, flow, entry, now)
+    start_queued(state, now)
 
 
-def fail(home: sidecar_state.SidecarState, event: events.Failed, now: int) -> None:
+def fail(state: sidecar_state.SidecarState, event: events.Failed, now: int) -> None:
     """Record that the upstream gave no answer, and start queued requests."""
-    entry = home.ledger.entries.get(event.key)
+    entry = state.ledger.entries.get(event.key)
     if entry is None or entry.state is not ledger.RequestState.RUNNING:
         return
     shed = not event.may_have_run and event.retry_at > 0
-    home.slots.finish(entry.key, limits.Outcome.SHED if shed else limits.Outcome.FAILED, now)
+    state.slots.finish(entry.key, limits.Outcome.SHED if shed else limits.Outcome.FAILED, now)
     if not shed and not entry.cancelled and now < entry.deadline:
         # A request that was cancelled or too late to be sent shows nothing about the upstream.
-        siblings.note_result(home, False, now)
-    settle_failed(home, entry, event.reason, event.may_have_run, event.retry_at, now)
-    start_waiting(home, now)
+        siblings.record_result(state, False, now)
+    record_failure(state, entry, event.reason, event.may_have_run, event.retry_at, now)
+    start_queued(state, now)
 
 
-def settle_failed(
-    home: sidecar_state.SidecarState,
+def record_failure(
+    state: sidecar_state.SidecarState,
     entry: ledger.Entry,
     reason: str,
     may_have_run: bool,
@@ -308,41 +308,41 @@
     now: int,
 ) -> None:
     """Record the outcome of a request that got no answer, and report it to the caller."""
-    entry.keep_until = max(entry.keep_until, now + home.limits.ledger_margin)
+    entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin)
     if not may_have_run:
         entry.state = ledger.RequestState.NOT_RUN
         entry.reason = reason
-        entry.retry_at = max(retry_at, retry_time(home, now))
+        entry.retry_at = max(retry_at, retry_time(state, now))
     else:
         entry.state = ledger.RequestState.UNKNOWN
         entry.reason = reason
-    home.trace("failed", entry.flow, entry.request, reason=reason, may_have_run=may_have_run)
-    flow = home.flows.get(entry.flow)
+    state.trace("failed", entry.flow, entry.request, reason=reason, may_have_run=may_have_run)
+    flow = state.flows.get(entry.flow)
     if flow is not None:
-        tell_outcome(home, flow, entry, now)
+        send_outcome(state, flow, entry, now)
 
 
-def tell_outcome(
-    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
+def send_outcome(
+    state: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, now: int
 ) -> None:
     """Send the caller the recorded state or outcome of a request."""
     if entry.is_delivered:
         # A late copy: the caller has acknowledged the whole answer, which is no longer stored.
-        home.trace("dropped", flow.id, entry.request, reason="its answer was delivered")
+        state.trace("dropped", flow.id, entry.request, reason="its answer was delivered")
     elif entry.state is ledger.RequestState.ANSWERED:
-        send_parts(home, flow, entry, range(messages.WINDOW))
+        send_parts(state, flow, entry, range(messages.WINDOW))
     elif entry.state is ledger.RequestState.NOT_RUN:
-        home.send_to_flow(
+        state.send_to_flow(
             flow, messages.NotRun(flow.id, entry.request, entry.reason, entry.retry_at)
         )
     elif entry.state is ledger.RequestState.UNKNOWN:
-        tell_unknown(home, flow, entry.request, entry.reason, now)
+        send_unknown(state, flow, entry.request, entry.reason, now)
     else:
-        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
+        state.send_to_flow(flow, messages.Running(flow.id, entry.request))
 
 
 def send_parts(
-    home: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, numbers
+    state: sidecar_state.SidecarState, flow: flows.Flow, entry: ledger.Entry, numbers
 ) -> None:
     """Send the numbered parts of an answer; numbers out of range are skipped."""
     total = part_count(entry)
@@ -350,7 +350,7 @@
         if not 0 <= number < total:
             continue
         start_byte = number * messages.PART_BYTES
-        home.send_to_flow(
+        state.send_to_flow(
             flow,
             messages.AnswerPart(
                 flow.id,
@@ -365,27 +365,27 @@
 
 
 def on_fetch(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Fetch, now: int
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Fetch, now: int
 ) -> None:
     """Send the requested parts of an answer, or the recorded outcome if it is another one."""
-    entry = home.ledger.get(flow.id, message.request)
+    entry = state.ledger.get(flow.id, message.request)
     if entry is None:
-        tell_unknown(home, flow, message.request, "no record of it is left", now)
+        send_unknown(state, flow, message.request, "no record of it is left", now)
     elif entry.answer and entry.answer == message.answer:
-        send_parts(home, flow, entry, message.parts[: messages.WINDOW])
+        send_parts(state, flow, entry, message.parts[: messages.WINDOW])
     else:
-        tell_outcome(home, flow, entry, now)
+        send_outcome(state, flow, entry, now)
 
 
 def on_acknowledge(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Acknowledge
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Acknowledge
 ) -> None:
     """Free the body of an answer that the caller has received; the record stays."""
-    entry = home.ledger.get(flow.id, message.request)
+    entry = state.ledger.get(flow.id, message.request)
     if entry is None or entry.state is not ledger.RequestState.ANSWERED:
         return
     if message.position == part_count(entry):
-        home.ledger.hold_answer(entry, b"", b"")
+        state.ledger.hold_answer(entry, b"", b"")
 
 
 def part_count(entry: ledger.Entry) -> int:
@@ -394,78 +394,83 @@
 
 
 def on_cancel(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Cancel, now: int
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Cancel, now: int
 ) -> None:
     """Cancel a request: refuse it if it has not started, else ask the upstream to stop it."""
-    entry = home.ledger.get(flow.id, message.request)
+    entry = state.ledger.get(flow.id, message.request)
     if entry is None:
-        home.send_to_flow(flow, messages.UnknownFlow(flow.id, message.request, "nothing to cancel"))
+        state.send_to_flow(
+            flow, messages.UnknownFlow(flow.id, message.request, "nothing to cancel")
+        )
     elif entry.state is ledger.RequestState.RUNNING:
         if not entry.cancelled:
             entry.cancelled = True
-            home.emit(effects.CancelRequest(entry.key))
-        home.send_to_flow(flow, messages.Running(flow.id, entry.request))
+            state.emit(effects.CancelRequest(entry.key))
+        state.send_to_flow(flow, messages.Running(flow.id, entry.request))
     elif entry.state in ledger.FINAL:
-        tell_outcome(home, flow, entry, now)
+        send_outcome(state, flow, entry, now)
     else:
-        home.slots.withdraw(entry.key)
-        refuse(home, flow, entry.request, entry.deadline, "cancelled", now)
+        state.slots.withdraw(entry.key)
+        refuse(state, flow, entry.request, entry.deadline, "cancelled", now)
 
 
 def on_settle(
-    home: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Settle, now: int
+    state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Settle, now: int
 ) -> None:
     """Report the outcome of a request; one that is not complete is refused for good."""
-    entry = home.ledger.get(flow.id, message.request)
-    if entry is None and fate(home, flow, message.deadline) is ledger.RequestState.UNKNOWN:
-        tell_unknown(home, flow, message.request, "its record may have been dropped", now)
-    elif entry is None and message.deadline > now + home.limits.max_deadline:
-        tell_unknown(home, flow, message.request, "the deadline is too far away", now)
+    entry = state.ledger.get(flow.id, message.request)
+    if (
+        entry is None
+        and unrecorded_outcome(state, flow, message.deadline) is ledger.RequestState.UNKNOWN
+    ):
+        send_unknown(state, flow, message.request, "its record may have been dropped", now)
+    elif entry is None and message.deadline > now + state.limits.max_deadline:
+        send_unknown(state, flow, message.request, "the deadline is too far away", now)
     elif entry is None or entry.state is ledger.RequestState.RECEIVING:
         deadline = message.deadline if entry is None else entry.deadline
-        refuse(home, flow, message.request, deadline, "settled before it ran", now)
+        refuse(state, flow, message.request, deadline, "settled before it ran", now)
     else:
-        tell_outcome(home, flow, entry, now)
+        send_outcome(state, flow, entry, now)
 
 
-def expire(home: sidecar_state.SidecarState, now: int) -> None:
+def expire(state: sidecar_state.SidecarState, now: int) -> None:
     """Refuse queued and cancel running requests past their deadline; drop expired records."""
-    give_up_refused(home, home.slots.expire(now, home.randomness), now)
-    for key in home.slots.running:
-        entry = home.ledger.entries[key]
+    send_refusals(state, state.slots.expire(now, state.randomness), now)
+    for key in state.slots.running:
+        entry = state.ledger.entries[key]
         if entry.deadline <= now and not entry.cancelled:
             entry.cancelled = True
-            home.emit(effects.CancelRequest(key))
-    for entry in home.ledger.expire(now):
-        forget_parts(home, entry)
+            state.emit(effects.CancelRequest(key))
+    for entry in state.ledger.expire(now):
+        free_parts(state, entry)
 
 
 @functools.singledispatch
-def on_message(message, home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
+def on_message(message, state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Process a caller's message about a request of a flow whose home is here."""
     raise TypeError(f"no handler for message {type(message).__name__}")
 
 
 @on_message.register
-def _(message: messages.Request, home, flow, now):
-    on_request(home, flow, message, now)
+def _(message: messages.Request, state, flow, now):
+    on_request(state, flow, message, now)
 
 
 @on_message.register
-def _(message: messages.Fetch, home, flow, now):
-    on_fetch(home, flow, message, now)
+def _(message: messages.Fetch, state, flow, now):
+    on_fetch(state, flow, message, now)
 
 
 @on_message.register
-def _(message: messages.Acknowledge, home, flow, now):
-    on_acknowledge(home, flow, message)
+def _(message: messages.Acknowledge, state, flow, now):
+    on_acknowledge(state, flow, message)
 
 
 @on_message.register
-def _(message: messages.Cancel, home, flow, now):
-    on_cancel(home, flow, message, now)
+def _(message: messages.Cancel, state, flow, now):
+    on_cancel(state, flow, message, now)
 
 
 @on_message.register
-def _(message: messages.Settle, home, flow, now):
-    on_settle(home, flow, message, now)
+def _(message: messages.Settle, state, flow, now):
+    on_settle(state, flow, message, now)
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -9,90 +9,92 @@
 from ebonystile.peer import messages
 
 
-def own_load(home: sidecar_state.SidecarState, now: int) -> messages.LoadReport:
+def own_load(state: sidecar_state.SidecarState, now: int) -> messages.LoadReport:
     """Return the load of the upstream beside this sidecar."""
-    own = home.view.endpoints.get(home.key)
+    own = state.view.endpoints.get(state.key)
     zone = own.zone if own else ""
-    report = home.balance.make_report(
-        home.name, home.incarnation, zone, home.slots, len(home.flows), now
+    report = state.balance.make_report(
+        state.name, state.incarnation, zone, state.slots, len(state.flows), now
     )
     return dataclasses.replace(
-        report, connections=home.limits.flows, leaving=bool(home.leaving) or not home.caught_up
+        report,
+        connections=state.limits.flows,
+        leaving=bool(state.leaving_reason) or not state.is_caught_up,
     )
 
 
-def report(home: sidecar_state.SidecarState, now: int) -> None:
+def report_load(state: sidecar_state.SidecarState, now: int) -> None:
     """Tell the siblings the load if it is time to."""
-    balance = home.balance
-    if not balance.receivers or not balance.reporter.can_report(now, bool(home.leaving)):
+    balance = state.balance
+    if not balance.receivers or not balance.reporter.can_report(now, bool(state.leaving_reason)):
         return
-    own = own_load(home, now)
+    own = own_load(state, now)
     if balance.reporter.record_if_due(own, now):
-        home.emit(effects.SendLoad(balance.receivers, own))
+        state.emit(effects.SendLoad(balance.receivers, own))
 
 
-def on_view(home: sidecar_state.SidecarState) -> None:
+def on_view(state: sidecar_state.SidecarState) -> None:
     """Work out whom to report to, and forget who is no sibling any more.
 
     Leaving siblings are told too: they pass every open on and need to know where to.
     """
-    balance = home.balance
+    balance = state.balance
     names: set[str] = set()
     receivers: dict[view.Address, None] = {}
-    for service in sorted(home.serves):
-        others = [u for u in home.view.services[service].upstreams if u.key != home.key]
+    for service in sorted(state.served_services):
+        others = [u for u in state.view.services[service].upstreams if u.key != state.key]
         names.update(u.name for u in others)
-        for each in balance.reporter.receivers(home.key, others):
+        for each in balance.reporter.receivers(state.key, others):
             receivers[each.address] = None
     balance.receivers = tuple(receivers)
     balance.table.retain(names)
 
 
-def on_heard(home: sidecar_state.SidecarState, event: events.LoadHeard, now: int) -> None:
+def on_load_report(state: sidecar_state.SidecarState, event: events.LoadReported, now: int) -> None:
     """Take a sibling's report."""
-    home.balance.table.record_report(event.report, now)
+    state.balance.table.record_report(event.report, now)
 
 
-def on_health(home: sidecar_state.SidecarState, event: events.UpstreamHealth, now: int) -> None:
+def on_health(state: sidecar_state.SidecarState, event: events.UpstreamHealth, now: int) -> None:
     """Take what the upstream says of its health, or its silence.
 
     A good word only counts as the answer to a probe of a suspected upstream; otherwise what its
     requests show is better evidence. A new cold spell starts the ramp anew.
     """
-    balance = home.balance
-    if event.cold and not balance.is_cold:
+    balance = state.balance
+    if event.in_slow_start and not balance.is_cold:
         balance.ramp = load.Ramp(now, balance.policy.ramp_ms)
-    balance.is_cold = event.cold
-    if not balance.suspicion.is_suspected(home.name):
+    balance.is_cold = event.in_slow_start
+    if not balance.suspicion.is_suspected(state.name):
         if not event.ok:
-            note_result(home, False, now)
+            record_result(state, False, now)
     elif balance.suspicion.due_probes(now) and balance.suspicion.record_probe(
-        home.name, event.ok, now
+        state.name, event.ok, now
     ):
-        home.trace("trusted")
+        state.trace("trusted")
 
 
-def note_result(home: sidecar_state.SidecarState, good: bool, now: int) -> None:
+def record_result(state: sidecar_state.SidecarState, good: bool, now: int) -> None:
     """Note how a request or a check of the upstream went."""
     if good:
-        home.balance.suspicion.record_success(home.name, now)
-    elif home.balance.suspicion.record_failure(home.name, now):
-        home.trace("suspected")
+        state.balance.suspicion.record_success(state.name, now)
+    elif state.balance.suspicion.record_failure(state.name, now):
+        state.trace("suspected")
 
 
-def suspects(home: sidecar_state.SidecarState, now: int) -> tuple[str, ...]:
+def suspected(state: sidecar_state.SidecarState, now: int) -> tuple[str, ...]:
     """Return who is suspected: the own upstream, and siblings that have fallen silent."""
     silent = [
         name
-        for name, sibling in list(home.balance.table.siblings.items())
-        if now - sibling.received_at > home.balance.table.stale_after_ms
+        for name, sibling in list(state.balance.table.siblings.items())
+        if now - sibling.received_at > state.balance.table.stale_after_ms
     ]
-    own = [home.name] if home.balance.suspicion.is_suspected(home.name) else []
+    own = [state.name] if state.balance.suspicion.is_suspected(state.name) else []
     return tuple(own + sorted(silent))
 
 
-def pick(
-    home: sidecar_state.SidecarState,
+def pick_sibling(
+    state: sidecar_state.SidecarState,
     forward: messages.Forward,
     message: caller_messages.Open,
     now: int,
@@ -103,26 +105,29 @@
     would wait. So it never comes back to one that has passed it on, and is passed a few times at
     most; the second and third pass mend what an old report got wrong.
     """
-    if len(forward.visited) >= home.balance.policy.max_passes or message.service not in home.serves:
+    if (
+        len(forward.visited) >= state.balance.policy.max_passes
+        or message.service not in state.served_services
+    ):
         return None
-    choices = [u for u in home.siblings(message.service) if u.key not in forward.visited]
+    choices = [u for u in state.siblings(message.service) if u.key not in forward.visited]
     name = placement.choose(
-        home.balance.policy.placement_policy,
+        state.balance.policy.placement_policy,
         message.flow,
-        own_load(home, now),
-        home.balance.table,
+        own_load(state, now),
+        state.balance.table,
         choices,
         now,
-        home.randomness,
+        state.randomness,
     )
     if name is None:
         return None
-    home.balance.table.record_sent(name, now)
+    state.balance.table.record_sent(name, now)
     return next(u for u in choices if u.name == name)
 
 
-def lightest(
-    home: sidecar_state.SidecarState, choices: list[view.Endpoint], now: int
+def least_loaded(
+    state: sidecar_state.SidecarState, choices: list[view.Endpoint], now: int
 ) -> view.Endpoint | None:
     """Return the choice that holds the fewest flows for its weight, and count one more there.
 
@@ -130,7 +135,7 @@
     Flows sent since the last report count, so one process cannot crowd one sibling; of several
     processes that leave at once, each adds at most the share that it would fill alone.
     """
-    table = home.balance.table
+    table = state.balance.table
     candidates = [
         (candidate.flows, candidate.work, choice.name, choice)
         for choice in choices
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -1,4 +1,4 @@
-"""Implement the sidecar's state machine: `decide(home, event, now)` returns the effects.
+"""Implement the sidecar's state machine: `decide(state, event, now)` returns the effects.
 
 It uses no clock, socket, thread or global randomness, so that daemons and simulations run the same
 code.
@@ -40,166 +40,166 @@
     return sidecar_state.SidecarState(name, incarnation, limits, randomness, now, policy)
 
 
-def decide(home: sidecar_state.SidecarState, event, now: int) -> list[effects.Effect]:
+def decide(state: sidecar_state.SidecarState, event, now: int) -> list[effects.Effect]:
     """Process one event at time `now` (ms) and return the effects, in order."""
-    notice_pause(home, now)
-    on_event(event, home, now)
-    siblings.report(home, now)
-    return home.take_effects()
+    detect_pause(state, now)
+    on_event(event, state, now)
+    siblings.report_load(state, now)
+    return state.take_effects()
 
 
-def notice_pause(home: sidecar_state.SidecarState, now: int) -> None:
+def detect_pause(state: sidecar_state.SidecarState, now: int) -> None:
     """Refuse new work after a pause of the process until a view has been confirmed.
 
     After a pause the view may be stale: the upstream may serve another service by now, and a
     request would reach the wrong one. Ticks come at least every `events.TICK_MS`, so a long gap
     between events means a pause; `ViewChanged` ends this state.
     """
-    if now - home.last_tick > home.limits.pause_bound and home.caught_up:
-        home.caught_up = False
-        home.trace("woke", gap=now - home.last_tick)
-    home.last_tick = max(home.last_tick, now)
+    if now - state.last_event_at > state.limits.pause_bound and state.is_caught_up:
+        state.is_caught_up = False
+        state.trace("woke", gap=now - state.last_event_at)
+    state.last_event_at = max(state.last_event_at, now)
 
 
 @functools.singledispatch
-def on_event(event, home: sidecar_state.SidecarState, now: int) -> None:
+def on_event(event, state: sidecar_state.SidecarState, now: int) -> None:
     """Process one event."""
     raise TypeError(f"no handler for event {type(event).__name__}")
 
 
 @on_event.register
-def _(event: events.Arrived, home, now):
+def _(event: events.Arrived, state, now):
     try:
         message = caller_messages.FROM_CALLER.decode(event.forward.payload)
     except errors.DatagramError as error:
-        home.trace("dropped", reason=error.reason)
+        state.trace("dropped", reason=error.reason)
         return
     if isinstance(message, caller_messages.Open):
-        opening.on_open(home, event.forward, message, now)
+        opening.on_open(state, event.forward, message, now)
         return
-    route(home, event.forward, message, now)
+    route(state, event.forward, message, now)
 
 
 @on_event.register
-def _(event: events.Finished, home, now):
-    requests.finish(home, event, now)
+def _(event: events.Finished, state, now):
+    requests.finish(state, event, now)
 
 
 @on_event.register
-def _(event: events.Failed, home, now):
-    requests.fail(home, event, now)
+def _(event: events.Failed, state, now):
+    requests.fail(state, event, now)
 
 
 @on_event.register
-def _(event: events.FeedBatch, home, now):
-    feeds.on_batch(home, event, now)
+def _(event: events.FeedBatch, state, now):
+    feeds.on_batch(state, event, now)
 
 
 @on_event.register
-def _(event: events.FeedFailed, home, now):
-    feeds.on_failed(home, event, now)
+def _(event: events.FeedFailed, state, now):
+    feeds.on_failed(state, event, now)
 
 
 @on_event.register
-def _(event: events.TransferArrived, home, now):
-    handover.on_arrived(home, event, now)
-    feeds.poll(home, now)
+def _(event: events.TransferArrived, state, now):
+    handover.on_arrived(state, event, now)
+    feeds.poll(state, now)
 
 
 @on_event.register
-def _(event: events.TransferAnswered, home, now):
-    handover.on_answered(home, event, now)
+def _(event: events.TransferAnswered, state, now):
+    handover.on_answered(state, event, now)
 
 
 @on_event.register
-def _(event: events.TransferFailed, home, now):
-    handover.on_failed(home, event, now)
+def _(event: events.TransferFailed, state, now):
+    handover.on_failed(state, event, now)
 
 
 @on_event.register
-def _(event: events.ViewChanged, home, now):
-    if event.view.revision < home.view.revision:
+def _(event: events.ViewChanged, state, now):
+    if event.view.revision < state.view.revision:
         return
-    before = home.serves
-    home.view = event.view
-    home.serves = event.view.services_of(home.name)
-    siblings.on_view(home)
-    home.caught_up = True
-    lost = set(before - home.serves)
+    before = state.served_services
+    state.view = event.view
+    state.served_services = event.view.services_of(state.name)
+    siblings.on_view(state)
+    state.is_caught_up = True
+    lost = set(before - state.served_services)
     if lost:
         reason = "the upstream no longer serves the service"
-        requests.give_up_queued(home, lost, reason, now)
-        home.trace("services_lost", services=",".join(sorted(lost)))
-    home.moving = True
-    own = event.view.endpoints.get(home.key)
+        requests.refuse_queued(state, lost, reason, now)
+        state.trace("services_lost", services=",".join(sorted(lost)))
+    state.has_flows_to_move = True
+    own = event.view.endpoints.get(state.key)
     if own is not None:
-        follow_leaving(home, own.leaving, now)
-    handover.advance(home, now)
+        apply_leaving(state, own.leaving, now)
+    handover.advance(state, now)
 
 
 @on_event.register
-def _(event: events.Leave, home, now):
-    leave(home, event.reason, now)
-    home.leaving_by_view = False
-    handover.advance(home, now)
+def _(event: events.Leave, state, now):
+    leave(state, event.reason, now)
+    state.is_leaving_by_view = False
+    handover.advance(state, now)
 
 
 @on_event.register
-def _(event: events.LoadHeard, home, now):
-    siblings.on_heard(home, event, now)
+def _(event: events.LoadReported, state, now):
+    siblings.on_load_report(state, event, now)
 
 
 @on_event.register
-def _(event: events.UpstreamHealth, home, now):
-    siblings.on_health(home, event, now)
+def _(event: events.UpstreamHealth, state, now):
+    siblings.on_health(state, event, now)
 
 
 @on_event.register
-def _(event: events.UpstreamLoad, home, now):
-    home.balance.reported_load.record_report(event.work, now)
+def _(event: events.UpstreamLoad, state, now):
+    state.balance.reported_load.record_report(event.work, now)
 
 
 @on_event.register
-def _(event: events.Tick, home, now):
-    requests.expire(home, now)
-    requests.start_waiting(home, now)
-    expire_flows(home, now)
-    handover.expire(home, now)
-    handover.advance(home, now)
-    feeds.resend(home, now)
-    feeds.poll(home, now)
+def _(event: events.Tick, state, now):
+    requests.expire(state, now)
+    requests.start_queued(state, now)
+    expire_flows(state, now)
+    handover.expire(state, now)
+    handover.advance(state, now)
+    feeds.resend(state, now)
+    feeds.poll(state, now)
 
 
-def leave(home: sidecar_state.SidecarState, reason: str, now: int) -> None:
+def leave(state: sidecar_state.SidecarState, reason: str, now: int) -> None:
     """Refuse new and queued requests from now on; running requests go on."""
-    if home.leaving:
+    if state.leaving_reason:
         return
-    home.leaving = f"the upstream is leaving: {reason}"
-    home.moving = True
-    home.trace("leaving", reason=reason)
-    requests.give_up_queued(home, None, home.leaving, now)
+    state.leaving_reason = f"the upstream is leaving: {reason}"
+    state.has_flows_to_move = True
+    state.trace("leaving", reason=reason)
+    requests.refuse_queued(state, None, state.leaving_reason, now)
 
 
-def follow_leaving(home: sidecar_state.SidecarState, leaving: bool, now: int) -> None:
+def apply_leaving(state: sidecar_state.SidecarState, leaving: bool, now: int) -> None:
     """Leave or stay as the view says, unless the process itself has decided to leave."""
-    if leaving and not home.leaving:
-        leave(home, "the configuration or the list says so", now)
-        home.leaving_by_view = True
-    elif not leaving and home.leaving_by_view:
-        home.leaving = ""
-        home.leaving_by_view = False
-        home.trace("staying")
+    if leaving and not state.leaving_reason:
+        leave(state, "the configuration or the list says so", now)
+        state.is_leaving_by_view = True
+    elif not leaving and state.is_leaving_by_view:
+        state.leaving_reason = ""
+        state.is_leaving_by_view = False
+        state.trace("staying")
 
 
-def drained(home: sidecar_state.SidecarState) -> bool:
+def is_drained(state: sidecar_state.SidecarState) -> bool:
     """Return whether a leaving sidecar has no request to finish and no flow to hand over."""
-    if not home.leaving or home.slots.running:
+    if not state.leaving_reason or state.slots.running:
         return False
-    return all(flow.moved_to is not None or flow.lost for flow in home.flows.values())
+    return all(flow.moved_to is not None or flow.lost for flow in state.flows.values())
 
 
 def route(
-    home: sidecar_state.SidecarState,
+    state: sidecar_state.SidecarState,
     forward: messages.Forward,
     message: caller_messages.FromCaller,
     now: int,
@@ -209,26 +209,26 @@
     The service, the flow and the home's incarnation must all match. Otherwise a reused address or
     a balancer with a stale view could deliver a request to an upstream of another service.
     """
-    flow = home.flows.get(message.flow)
+    flow = state.flows.get(message.flow)
     token = view.unpack_token(message.token)
-    if not matches(flow, token, message.service):
-        pass_on(home, forward, message)
+    if not is_token_for(flow, token, message.service):
+        forward_or_report(state, forward, message)
     elif flow.moved_to is not None:
         if flow.moved_to.key not in forward.visited:
-            home.forward_to(flow.moved_to, forward)
+            state.forward_to(flow.moved_to, forward)
     elif flow.is_fenced:
-        on_fenced(home, flow, forward, message, now)
+        answer_fenced(state, flow, forward, message, now)
     else:
         flow.caller = forward.caller
         flow.via = forward.via
-        flow.lease_until = now + home.limits.flow_lease
-        on_message(message, home, flow, now)
+        flow.lease_until = now + state.limits.flow_lease
+        on_message(message, state, flow, now)
         if flow.token != message.token:
-            handover.tell_home(home, flow)
+            handover.send_moved(state, flow)
 
 
-def on_fenced(
-    home: sidecar_state.SidecarState,
+def answer_fenced(
+    state: sidecar_state.SidecarState,
     flow: flows.Flow,
     forward: messages.Forward,
     message: caller_messages.FromCaller,
@@ -236,18 +236,18 @@
 ) -> None:
     """Answer a message of a fenced flow from its records; no new request may start."""
     request = getattr(message, "request", b"")
-    if home.ledger.get(flow.id, request) is not None:
+    if state.ledger.get(flow.id, request) is not None:
         flow.caller = forward.caller
         flow.via = forward.via
-        requests.on_message(message, home, flow, now)
+        requests.on_message(message, state, flow, now)
     elif flow.lost:
-        pass_on(home, forward, message)
+        forward_or_report(state, forward, message)
     else:
         # The target may already be the home; the caller's next copy is routed by the result.
-        home.trace("held", flow.id, reason="handover under way")
+        state.trace("held", flow.id, reason="handover under way")
 
 
-def matches(flow: flows.Flow | None, token: view.Token | None, service: str) -> bool:
+def is_token_for(flow: flows.Flow | None, token: view.Token | None, service: str) -> bool:
     """Return whether the token was issued for this flow and is still valid."""
     return (
         flow is not None
@@ -258,66 +258,68 @@
     )
 
 
-def pass_on(
-    home: sidecar_state.SidecarState, forward: messages.Forward, message: caller_messages.FromCaller
+def forward_or_report(
+    state: sidecar_state.SidecarState,
+    forward: messages.Forward,
+    message: caller_messages.FromCaller,
 ) -> None:
     """Forward a message to the next sidecar, or send `UnknownFlow` if all have been tried."""
-    if home.pass_on(forward, message.flow, message.service):
+    if state.pass_on(forward, message.flow, message.service):
         return
     request = getattr(message, "request", b"")
-    home.trace("unknown_flow", message.flow, request)
+    state.trace("unknown_flow", message.flow, request)
     unknown = caller_messages.UnknownFlow(message.flow, request, "no upstream holds the flow")
-    home.send_to_caller(forward.caller, forward.via, unknown)
+    state.send_to_caller(forward.caller, forward.via, unknown)
 
 
 @functools.singledispatch
-def on_message(message, home: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
+def on_message(message, state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
     """Process a message of a flow whose home is here; most concern a request."""
-    requests.on_message(message, home, flow, now)
+    requests.on_message(message, state, flow, now)
 
 
 @on_message.register
-def _(message: caller_messages.Subscribe, home, flow, now):
-    feeds.on_subscribe(home, flow, message, now)
+def _(message: caller_messages.Subscribe, state, flow, now):
+    feeds.on_subscribe(state, flow, message, now)
 
 
 @on_message.register
-def _(message: caller_messages.Acknowledge, home, flow, now):
+def _(message: caller_messages.Acknowledge, state, flow, now):
     if message.request in flow.feeds:
-        feeds.on_acknowledge(home, flow, message, now)
+        feeds.on_acknowledge(state, flow, message, now)
     else:
-        requests.on_message(message, home, flow, now)
+        requests.on_message(message, state, flow, now)
 
 
 @on_message.register
-def _(message: caller_messages.Heartbeat, home, flow, now):
-    handover.tell_home(home, flow)
+def _(message: caller_messages.Heartbeat, state, flow, now):
+    handover.send_moved(state, flow)
 
 
 @on_message.register
-def _(message: caller_messages.Close, home, flow, now):
+def _(message: caller_messages.Close, state, flow, now):
     if message.token != flow.token:
         # The close is for a second home that was merged into this one, or predates a handover.
         # Closing the flow would end it while its caller still uses it; its lease ends it later.
         return
     flow.feeds.clear()
-    for entry in home.ledger.of_flow(flow.id):
-        if home.slots.withdraw(entry.key):
-            requests.give_up(home, entry, "the flow was closed", now)
-    del home.flows[flow.id]
-    home.trace("closed", flow.id)
-    home.send_to_flow(flow, caller_messages.Closed(flow.id))
+    for entry in state.ledger.of_flow(flow.id):
+        if state.slots.withdraw(entry.key):
+            requests.refuse_unstarted(state, entry, "the flow was closed", now)
+    del state.flows[flow.id]
+    state.trace("closed", flow.id)
+    state.send_to_flow(flow, caller_messages.Closed(flow.id))
 
 
-def expire_flows(home: sidecar_state.SidecarState, now: int) -> None:
+def expire_flows(state: sidecar_state.SidecarState, now: int) -> None:
     """Remove the flows with an expired lease and no pending request."""
-    if now - home.leases_checked_at < LEASE_CHECK_MS:
+    if now - state.leases_checked_at < LEASE_CHECK_MS:
         return
-    home.leases_checked_at = now
-    for flow in list(home.flows.values()):
+    state.leases_checked_at = now
+    for flow in list(state.flows.values()):
         if flow.lease_until > now or flow.handover is not None:
             continue
-        records = home.ledger.of_flow(flow.id)
+        records = state.ledger.of_flow(flow.id)
         if not any(entry.state in ledger.PENDING for entry in records):
-            del home.flows[flow.id]
-            home.trace("lease_expired", flow.id)
+            del state.flows[flow.id]
+            state.trace("lease_expired", flow.id)
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -81,23 +81,23 @@
         self.limits = limits
         self.randomness = randomness
         self.view = view.EMPTY
-        self.serves: frozenset[str] = frozenset()
+        self.served_services: frozenset[str] = frozenset()
         self.flows: dict[bytes, flows.Flow] = {}
         self.ledger = ledger.Ledger(limits.ledger, limits.ledger_margin)
         self.slots = balance.make_limiter(policy, limits.slots, limits.queue)
         self.balance = balance.LoadState(policy, now)
         self.sources: dict[str, FeedSource] = {}
         self.upload_bytes = 0
-        self.leaving = ""
-        self.leaving_by_view = False
-        self.moving = False
-        self.fed: set[bytes] = set()
+        self.leaving_reason = ""
+        self.is_leaving_by_view = False
+        self.has_flows_to_move = False
+        self.feed_flow_ids: set[bytes] = set()
         self.leases_checked_at = now
-        self.caught_up = True
-        self.last_tick = now
+        self.is_caught_up = True
+        self.last_event_at = now
         self.accepted_transfers: dict[bytes, int] = {}
         self.refused_transfers: dict[bytes, int] = {}
-        self.handovers_done = 0
+        self.handover_count = 0
         self.next_balancer = 0
         self.effects: list[effects.Effect] = []
 
@@ -148,7 +148,7 @@
 
     def can_start(self, service: str) -> bool:
         """Return whether new work for the service may start here now."""
-        return not self.leaving and self.caught_up and service in self.serves
+        return not self.leaving_reason and self.is_caught_up and service in self.served_services
 
     def pass_on(self, forward: messages.Forward, flow: bytes, service: str) -> bool:
         """Forward a datagram to the next sidecar of the flow's ranking; False if all were tried.
--- a/src/ebonystile/daemon/answers.py
+++ b/src/ebonystile/daemon/answers.py
@@ -149,7 +149,9 @@
 def _(core: sidecar_state.SidecarState) -> Work:
     held = sum(not flow.is_fenced for flow in core.flows.values())
     slots = core.slots
-    return Work(held, len(slots.running), len(slots.queue), core.leaving, tuple(core.serves))
+    return Work(
+        held, len(slots.running), len(slots.queue), core.leaving_reason, tuple(core.served_services)
+    )
 
 
 def route_of(
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -162,7 +162,9 @@
         lambda: core.balance.suspicion.is_suspected(core.name),
     )
     held.gauge("ledger", "Requests remembered.", lambda: len(core.ledger.entries))
-    held.gauge("leaving", "1 while the process takes no new work.", lambda: bool(core.leaving))
+    held.gauge(
+        "leaving", "1 while the process takes no new work.", lambda: bool(core.leaving_reason)
+    )
 
 
 def upstream_of(identity: answers.Identity) -> str:
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -123,7 +123,7 @@
         if type(message) is messages.Forward:
             self.take(events.Arrived(message))
         elif type(message) is messages.LoadReport:
-            self.take(events.LoadHeard(message))
+            self.take(events.LoadReported(message))
 
     def on_view(self, newer: view.View) -> None:
         """Act by a newer view, or learn that the present one is still in force."""
@@ -156,14 +156,14 @@
 
     def surroundings(self) -> answers.Surroundings:
         """Return what operators see of the shell."""
-        suspected = {*siblings.suspects(self.core, clock.now()), *self.control_plane.suspected()}
+        suspected = {*siblings.suspected(self.core, clock.now()), *self.control_plane.suspected()}
         return answers.Surroundings(
             suspected=tuple(sorted(suspected)), refusals=self.control_plane.refusals()
         )
 
     def healthy(self) -> bool:
         """Whether the process has a configuration and takes new work, for `/healthz`."""
-        return self.core.view.revision > 0 and not self.core.leaving
+        return self.core.view.revision > 0 and not self.core.leaving_reason
 
     def tick(self) -> None:
         """Let the core look at the time, and end a process that has left."""
@@ -171,7 +171,7 @@
         if not self.leave_by:
             return
         now = clock.now()
-        if not sidecar.drained(self.core):
+        if not sidecar.is_drained(self.core):
             self.drained_at = 0
         elif not self.drained_at:
             self.drained_at = now
@@ -200,7 +200,7 @@
             return
         health = future.result()
         self.post(events.UpstreamHealth(health.ok, health.cold))
-        if health.draining and not self.core.leaving:
+        if health.draining and not self.core.leaving_reason:
             self.post(events.Leave("the upstream drains"))
 
     def ask_load(self) -> None:
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -308,7 +308,7 @@
             return
         elapsed = self.wire.now - wires.START
         if home.name in self.leaving and elapsed < ACTIVE_MS:
-            if sidecar.drained(home.core) and not home.jobs:
+            if sidecar.is_drained(home.core) and not home.jobs:
                 self.end(home)
                 self.publish()
             else:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -80,42 +80,42 @@
     Mutation(
         "tombstone before NotRun",
         CORE + "calls/requests.py",
-        "        home.ledger.add(entry)\n    if entry is not None:",
+        "        state.ledger.add(entry)\n    if entry is not None:",
         "    if entry is not None:",
     ),
     Mutation(
         "tombstone when a request is settled",
         CORE + "calls/requests.py",
-        'refuse(home, flow, message.request, deadline, "settled before it ran", now)',
-        'home.send_to_flow(flow, messages.NotRun(flow.id, message.request, "settled", now))',
+        'refuse(state, flow, message.request, deadline, "settled before it ran", now)',
+        'state.send_to_flow(flow, messages.NotRun(flow.id, message.request, "settled", now))',
     ),
     Mutation(
         "ledger lookup for a repeat",
         CORE + "calls/requests.py",
-        "    home.balance.idle_flows.remove(flow.id)\n"
-        "    entry = home.ledger.get(flow.id, message.request)\n",
-        "    home.balance.idle_flows.remove(flow.id)\n"
-        "    entry = home.ledger.get(flow.id, message.request)\n"
+        "    state.balance.idle_flows.remove(flow.id)\n"
+        "    entry = state.ledger.get(flow.id, message.request)\n",
+        "    state.balance.idle_flows.remove(flow.id)\n"
+        "    entry = state.ledger.get(flow.id, message.request)\n"
         "    if entry is not None and entry.state in ledger.FINAL:\n"
         "        entry = None\n",
     ),
     Mutation(
         "record kept till its deadline and a margin",
         CORE + "calls/requests.py",
-        "        message.deadline + home.limits.ledger_margin,\n    )\n    home.ledger.add(entry)",
-        "        now + home.limits.ledger_margin,\n    )\n    home.ledger.add(entry)",
+        "message.deadline + state.limits.ledger_margin,\n    )\n    state.ledger.add(entry)",
+        "now + state.limits.ledger_margin,\n    )\n    state.ledger.add(entry)",
     ),
     Mutation(
         "forgotten_before of the ledger",
         CORE + "calls/requests.py",
-        "forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)",
+        "forgotten = max(state.ledger.forgotten_before, flow.forgotten_before)",
         "forgotten = flow.forgotten_before",
     ),
     Mutation(
         "forgotten_before of a handover",
         CORE + "calls/requests.py",
-        "forgotten = max(home.ledger.forgotten_before, flow.forgotten_before)",
-        "forgotten = home.ledger.forgotten_before",
+        "forgotten = max(state.ledger.forgotten_before, flow.forgotten_before)",
+        "forgotten = state.ledger.forgotten_before",
     ),
     Mutation(
         "barred_before when the ledger is full",
@@ -126,13 +126,13 @@
     Mutation(
         "refusal when the ledger is full",
         CORE + "calls/requests.py",
-        "    if home.ledger.is_full:\n        return",
+        "    if state.ledger.is_full:\n        return",
         "    if False:\n        return",
     ),
     Mutation(
         "bound on deadlines far away",
         CORE + "calls/requests.py",
-        "    if message.deadline > now + home.limits.max_deadline:\n        # `NotRun`",
+        "    if message.deadline > now + state.limits.max_deadline:\n        # `NotRun`",
         "    if False:\n        # `NotRun`",
     ),
     Mutation(
@@ -144,37 +144,37 @@
     Mutation(
         "requests refused while leaving",
         CORE + "calls/requests.py",
-        "    if home.leaving:\n        return",
+        "    if state.leaving_reason:\n        return",
         "    if False:\n        return",
     ),
     Mutation(
         "opens refused while leaving",
         CORE + "calls/sidecar_state.py",
-        "return not self.leaving and self.caught_up and service in self.serves",
-        "return self.caught_up and service in self.serves",
+        "return not self.leaving_reason and self.is_caught_up and service in self.served_services",
+        "return self.is_caught_up and service in self.served_services",
     ),
     Mutation(
         "queued requests refused when leaving begins",
         CORE + "calls/sidecar.py",
-        "    requests.give_up_queued(home, None, home.leaving, now)\n",
+        "    requests.refuse_queued(state, None, state.leaving_reason, now)\n",
         "",
     ),
     Mutation(
         "nothing runs of a service that was taken away",
         CORE + "calls/requests.py",
-        "    if flow.service not in home.serves:\n",
+        "    if flow.service not in state.served_services:\n",
         "    if False:\n",
     ),
     Mutation(
         "new work held after a pause",
         CORE + "calls/sidecar.py",
-        "if now - home.last_tick > home.limits.pause_bound and home.caught_up:",
+        "if now - state.last_event_at > state.limits.pause_bound and state.is_caught_up:",
         "if False:",
     ),
     Mutation(
         "home's view never goes back",
         CORE + "calls/sidecar.py",
-        "    if event.view.revision < home.view.revision:\n        return\n",
+        "    if event.view.revision < state.view.revision:\n        return\n",
         "",
     ),
     Mutation(
@@ -210,25 +210,25 @@
     Mutation(
         "fenced flow runs nothing",
         CORE + "calls/sidecar.py",
-        "    elif flow.is_fenced:\n        on_fenced",
-        "    elif False:\n        on_fenced",
+        "    elif flow.is_fenced:\n        answer_fenced",
+        "    elif False:\n        answer_fenced",
     ),
     Mutation(
         "idempotent receipt by transfer id",
         CORE + "calls/handover.py",
-        "accepted = message.id in home.accepted_transfers",
+        "accepted = message.id in state.accepted_transfers",
         "accepted = False",
     ),
     Mutation(
         "memory of transfers taken",
         CORE + "calls/handover.py",
-        "forget(home.accepted_transfers, now - home.limits.transfer_memory)",
-        "forget(home.accepted_transfers, now)",
+        "remove_expired(state.accepted_transfers, now - state.limits.transfer_memory)",
+        "remove_expired(state.accepted_transfers, now)",
     ),
     Mutation(
         "memory of transfers refused",
         CORE + "calls/handover.py",
-        "home.refused_transfers[message.id] = message.deadline",
+        "state.refused_transfers[message.id] = message.deadline",
         "pass",
     ),
     Mutation(
@@ -246,14 +246,14 @@
     Mutation(
         "only the asked incarnation takes a transfer",
         CORE + "calls/handover.py",
-        "if not accepted and message.incarnation == home.incarnation:",
+        "if not accepted and message.incarnation == state.incarnation:",
         "if not accepted and message.incarnation:",
     ),
     Mutation(
         "flow given up when its target was restarted",
         CORE + "calls/handover.py",
-        "ran of the flow.\n        lose(home, flow)\n",
-        "ran of the flow.\n        try_another(home, flow, now)\n",
+        "ran of the flow.\n        abandon_flow(state, flow)\n",
+        "ran of the flow.\n        try_next_target(state, flow, now)\n",
     ),
     Mutation(
         "flow given up when its target is gone",
@@ -264,13 +264,13 @@
     Mutation(
         "lease cut short while nobody takes a flow",
         CORE + "calls/handover.py",
-        "    flow.lease_until = min(flow.lease_until, now + home.limits.waiting_lease)\n",
+        "    flow.lease_until = min(flow.lease_until, now + state.limits.waiting_lease)\n",
         "",
     ),
     Mutation(
         "caller told that its flow waits",
         CORE + "calls/handover.py",
-        "        flow.lease_sent_at = now\n        tell_home(home, flow)\n",
+        "        flow.lease_sent_at = now\n        send_moved(state, flow)\n",
         "        flow.lease_sent_at = now\n",
     ),
     Mutation(
@@ -282,7 +282,7 @@
     Mutation(
         "pending flow not taken back",
         CORE + "calls/handover.py",
-        "if known is not None and known.handover is not None and not comes_back(known, message):",
+        "if known is not None and known.handover is not None and not is_returning(known, message):",
         "if False:",
     ),
     Mutation(
@@ -294,7 +294,7 @@
     Mutation(
         "records go along in a handover",
         CORE + "calls/handover.py",
-        "        records = tuple(record_of(entry) for entry in home.ledger.of_flow(flow.id))\n",
+        "        records = tuple(record_of(entry) for entry in state.ledger.of_flow(flow.id))\n",
         "",
     ),
     Mutation(
@@ -384,7 +384,7 @@
     Mutation(
         "large answer delivered before the flow moves",
         CORE + "calls/handover.py",
-        "    if sum(len(entry.body) for entry in records) > home.limits.transfer_bytes:\n",
+        "    if sum(len(entry.body) for entry in records) > state.limits.transfer_bytes:\n",
         "    if False:\n",
     ),
     Mutation(
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -45,7 +45,7 @@
     subject = make_subject(answers.SIDECAR, answers.Surroundings(1, "", ("b1",), ("bad",)))
     hold_flow(subject)
     subject.core.slots.admit((FLOW, ID), "ledger", 1 << 60, 0, random.Random(1))
-    subject.core.serves = frozenset({"s"})
+    subject.core.served_services = frozenset({"s"})
     status = answers.answer(messages.StatusRequest(ID), subject)
     assert (status.revision, status.flows, status.running, status.queued) == (7, 1, 1, 1)
     assert (status.suspected, status.refusals, status.services) == (("b1",), ("bad",), ("s",))
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -220,5 +220,5 @@
     run_until(wire, lambda: caller.outcomes)
     assert len(caller.outcomes[0].body) == 3_000_000
     assert caller.outcomes[0].request == request
-    run_until(wire, lambda: sidecar.drained(old.core), 3_000)
+    run_until(wire, lambda: sidecar.is_drained(old.core), 3_000)
     assert wire.traces_of("handover_lost") == []
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -30,7 +30,7 @@
     homes = list(wire.homes.values())
     expire_leases_of_the_gone(wire)
     stop(wire, homes)
-    assert wire.run(STOP_MS, lambda: all(sidecar.drained(h.core) for h in homes))
+    assert wire.run(STOP_MS, lambda: all(sidecar.is_drained(h.core) for h in homes))
 
 
 def test_flow_of_a_caller_that_is_gone_does_not_hold_the_last_upstream():
@@ -41,7 +41,7 @@
     (home,) = wire.homes.values()
     expire_leases_of_the_gone(wire)
     stop(wire, [home])
-    assert wire.run(STOP_MS, lambda: sidecar.drained(home.core))
+    assert wire.run(STOP_MS, lambda: sidecar.is_drained(home.core))
 
 
 def test_idle_flow_waits_for_an_upstream_that_starts_a_minute_later():
@@ -56,10 +56,10 @@
     (old,) = wire.homes.values()
     stop(wire, [old])
     wire.run(60_000)
-    assert not sidecar.drained(old.core)
+    assert not sidecar.is_drained(old.core)
     new = wire.add_home("ledger-new", 300)
     wire.publish({wires.SERVICE: [old, new]}, leaving={old.name})
-    assert wire.run(10_000, lambda: sidecar.drained(old.core))
+    assert wire.run(10_000, lambda: sidecar.is_drained(old.core))
     request = caller.request("report", b"r", wire.now + 5_000, False, wire.now)
     assert wire.run(5_000, lambda: caller.outcomes)
     assert [o.outcome for o in caller.outcomes] == [progress.Outcome.ANSWERED]
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -201,7 +201,7 @@
     one = One()
     token = one.open()
     one.wire.publish({wires.SERVICE: one.homes[1:], "photos": one.homes[:1]})
-    assert one.core.serves == {"photos"}
+    assert one.core.served_services == {"photos"}
     one.core.flows[FLOW].handover = None
     assert kinds(one.ask(token, b"r", NOW + 9_000, NOW + 20)) == ["NotRun"]
     assert kinds(one.ask(token, b"s", NOW + 9_000, NOW + 20, parts=500)) == ["NotRun"]
@@ -294,7 +294,7 @@
     one = One()
     one.take(events.Leave("label"), NOW)
     assert not reply_to(one, transfer_to(one)).accepted
-    one.core.leaving = ""
+    one.core.leaving_reason = ""
     reply = reply_to(one, transfer_to(one))
     assert not reply.accepted
     assert reply.reason
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -164,10 +164,10 @@
     wire = wires.make_service()
     wire.run(2 * SECOND)
     watcher, silent, _ = wire.homes.values()
-    assert siblings.suspects(watcher.core, wire.now) == ()
+    assert siblings.suspected(watcher.core, wire.now) == ()
     wire.kill(silent)
     wire.run(5 * SECOND)
-    assert siblings.suspects(watcher.core, wire.now) == (silent.name,)
+    assert siblings.suspected(watcher.core, wire.now) == (silent.name,)
 
 
 def test_load_reports_are_few():
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -294,7 +294,7 @@
         def deliver():
             home = self.homes.get(target)
             if home is not None:
-                self.post(home, events.LoadHeard(report))
+                self.post(home, events.LoadReported(report))
 
         self.send(source, target, "LoadReport", deliver)
 
