--- a/tests/carrier/test_build.py
+++ b/tests/carrier/test_build.py
@@ -1,4 +1,4 @@
-"""Check that a build leaves processes alone that start from an earlier one."""
+"""A build must not disturb processes that start from the previous build."""
 
 import pathlib
 import shutil
@@ -27,11 +27,7 @@
 
 
 def test_second_build_of_the_same_sources_touches_nothing(checkout):
-    """A process starts while the same sources are built again beside it.
-
-    The package used to be deleted and copied anew; a process that imported it at that moment ended
-    by itself, and its callers waited for one more start.
-    """
+    """A process that imports the package during a build must not find files missing."""
     before = build(checkout).stat()
     after = build(checkout).stat()
     assert (before.st_ino, before.st_mtime_ns) == (after.st_ino, after.st_mtime_ns)
--- a/tests/carrier/test_feed.py
+++ b/tests/carrier/test_feed.py
@@ -1,4 +1,4 @@
-"""What a process makes of lists and watches, also where they come late, twice or from a relay."""
+"""Lists and watches that arrive late, twice or from a relay must leave the view correct."""
 
 import json
 import random
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture
-def made():
+def store_feed():
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -30,7 +30,7 @@
     return entries.Item(key, data, revision, tombstone=False, created=revision)
 
 
-def gone(key, revision):
+def tombstone_of(key, revision):
     return entries.Item(key, b"", revision, tombstone=True)
 
 
@@ -49,98 +49,102 @@
     return item(f"servers/{name}", revision, body)
 
 
-def take_list(made, kind, items, revision, next_after="", after=""):
+def apply_list(store_feed, kind, items, revision, next_after="", after=""):
     call = reading.Call(kind, clock.now() + 1_000, after)
-    if not made.reader.todo:
-        made.reader.restart()
-    while made.reader.todo[0][0] is not kind:
-        made.reader.todo.pop(0)
-    made.apply_result(call, store.Listed(tuple(items), revision, next_after, True), clock.now())
+    if not store_feed.reader.todo:
+        store_feed.reader.restart()
+    while store_feed.reader.todo[0][0] is not kind:
+        store_feed.reader.todo.pop(0)
+    store_feed.apply_result(
+        call, store.Listed(tuple(items), revision, next_after, True), clock.now()
+    )
 
 
-def operators(made, items, revision, **pages):
-    take_list(made, reading.Kind.CONFIGURATION, items, revision, **pages)
+def apply_operators_list(store_feed, items, revision, **pages):
+    apply_list(store_feed, reading.Kind.CONFIGURATION, items, revision, **pages)
 
 
-def upstreams(made, items, revision):
-    take_list(made, reading.Kind.ENTRIES, items, revision)
+def apply_upstreams_list(store_feed, items, revision):
+    apply_list(store_feed, reading.Kind.ENTRIES, items, revision)
 
 
-def news(made, items, revision):
+def apply_watch(store_feed, items, revision):
     call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
-    made.apply_result(call, store.Watched(tuple(items), revision), clock.now())
+    store_feed.apply_result(call, store.Watched(tuple(items), revision), clock.now())
 
 
-def test_a_drained_zone_is_known_before_any_upstream_is(made):
-    """What operators wrote comes in one list, and that of upstreams only after it."""
-    path = store.build_path(made.reader.next_call(clock.now()), clock.now())
+def test_a_drained_zone_is_known_before_any_upstream_is(store_feed):
+    """A flow could otherwise be placed in a drained zone right after the start."""
+    path = store.build_path(store_feed.reader.next_call(clock.now()), clock.now())
     assert "prefix=op/" in path
-    operators(made, [configuration(), item(DRAINED, 6, {})], 9)
-    assert made.fleet.drained == {"umea"} and not made.fleet.upstreams
+    apply_operators_list(store_feed, [configuration(), item(DRAINED, 6, {})], 9)
+    assert store_feed.fleet.drained == {"umea"} and not store_feed.fleet.upstreams
 
 
-def test_a_drained_zone_is_kept_over_several_pages(made):
-    operators(made, [configuration(), item("op/evacuate/a", 6)], 9, next_after="op/evacuate/a")
-    operators(made, [item(DRAINED, 7)], 9, after="op/evacuate/a")
-    assert made.fleet.drained == {"a", "umea"}
+def test_a_drained_zone_is_kept_over_several_pages(store_feed):
+    apply_operators_list(
+        store_feed, [configuration(), item("op/evacuate/a", 6)], 9, next_after="op/evacuate/a"
+    )
+    apply_operators_list(store_feed, [item(DRAINED, 7)], 9, after="op/evacuate/a")
+    assert store_feed.fleet.drained == {"a", "umea"}
 
 
-def test_a_watch_brings_the_drain_and_its_end(made):
-    news(made, [item(DRAINED, 11)], 11)
-    assert made.fleet.drained == {"umea"}
-    news(made, [gone(DRAINED, 12)], 12)
-    assert made.fleet.drained == set()
+def test_a_watch_starts_and_ends_a_drain(store_feed):
+    apply_watch(store_feed, [item(DRAINED, 11)], 11)
+    assert store_feed.fleet.drained == {"umea"}
+    apply_watch(store_feed, [tombstone_of(DRAINED, 12)], 12)
+    assert store_feed.fleet.drained == set()
 
 
-def test_the_end_of_a_drain_that_no_watch_brought_is_seen_in_the_next_list(made):
-    """The store drops its history while the key is removed."""
-    news(made, [item(DRAINED, 11)], 11)
-    operators(made, [configuration()], 20)
-    assert made.fleet.drained == set()
+def test_a_list_ends_a_drain_whose_removal_the_watch_missed(store_feed):
+    """The store loses its history, with the removal of the key in it."""
+    apply_watch(store_feed, [item(DRAINED, 11)], 11)
+    apply_operators_list(store_feed, [configuration()], 20)
+    assert store_feed.fleet.drained == set()
 
 
-def test_an_older_list_does_not_end_a_drain(made):
-    """A process falls back to a relay that has read less than itself."""
-    news(made, [item(DRAINED, 11)], 11)
-    operators(made, [configuration()], 10)
-    assert made.fleet.drained == {"umea"}
+def test_an_older_list_does_not_end_a_drain(store_feed):
+    """A process falls back to a relay that has read less of the store."""
+    apply_watch(store_feed, [item(DRAINED, 11)], 11)
+    apply_operators_list(store_feed, [configuration()], 10)
+    assert store_feed.fleet.drained == {"umea"}
 
 
-def test_an_older_list_does_not_begin_a_drain_again(made):
-    news(made, [item(DRAINED, 11)], 11)
-    news(made, [gone(DRAINED, 15)], 15)
-    operators(made, [configuration(), item(DRAINED, 11)], 12)
-    assert made.fleet.drained == set()
+def test_an_older_list_does_not_begin_a_drain_again(store_feed):
+    apply_watch(store_feed, [item(DRAINED, 11)], 11)
+    apply_watch(store_feed, [tombstone_of(DRAINED, 15)], 15)
+    apply_operators_list(store_feed, [configuration(), item(DRAINED, 11)], 12)
+    assert store_feed.fleet.drained == set()
 
 
-def test_an_older_list_does_not_drop_an_upstream_that_has_just_come(made):
-    """A relay's older list lacks it, and the watch from there on brings an item known already.
+def test_an_older_list_does_not_drop_an_upstream_that_has_just_come(store_feed):
+    """An older list of a relay lacks it, and the following watch repeats an item already applied.
 
-    The upstream would then get no new flow until its entry changes.
+    The upstream would get no new flow until its entry changes.
     """
-    news(made, [entry("u1", 11)], 11)
-    upstreams(made, [], 10)
-    news(made, [entry("u1", 11)], 11)
-    assert list(made.fleet.upstreams) == ["u1"]
-    upstreams(made, [], 12)
-    assert list(made.fleet.upstreams) == []
-
-
-def test_a_store_that_fails_leaves_zones_drained(made):
-    news(made, [item(DRAINED, 11)], 11)
-    made.call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
-    made.on_failure("silent")
-    made.apply_result(
+    apply_watch(store_feed, [entry("u1", 11)], 11)
+    apply_upstreams_list(store_feed, [], 10)
+    apply_watch(store_feed, [entry("u1", 11)], 11)
+    assert list(store_feed.fleet.upstreams) == ["u1"]
+    apply_upstreams_list(store_feed, [], 12)
+    assert list(store_feed.fleet.upstreams) == []
+
+
+def test_zones_stay_drained_while_the_store_fails(store_feed):
+    apply_watch(store_feed, [item(DRAINED, 11)], 11)
+    store_feed.call = reading.Call(reading.Kind.WATCH, clock.now() + 1_000)
+    store_feed.on_failure("silent")
+    store_feed.apply_result(
         reading.Call(reading.Kind.WATCH, clock.now()), store.HistoryLost(), clock.now()
     )
-    assert made.fleet.drained == {"umea"}
+    assert store_feed.fleet.drained == {"umea"}
 
 
-def test_bad_keys_name_no_zone_and_lose_nothing(made):
+def test_malformed_drain_keys_do_not_hide_valid_ones(store_feed):
     keys = ["op/evacuate/", "op/evacuate", "op/evacuated/x", "op/other"]
-    news(made, [item(key, 11 + place) for place, key in enumerate(keys)], 15)
-    assert made.fleet.drained == set() and made.counts["malformed"] == 1
+    apply_watch(store_feed, [item(key, 11 + place) for place, key in enumerate(keys)], 15)
+    assert store_feed.fleet.drained == set() and store_feed.counts["malformed"] == 1
     many = [item(f"op/evacuate/zone-{number}", 20 + number) for number in range(1_000)]
     random.Random(1).shuffle(many)
-    news(made, [*many, item(DRAINED, 2_000)], 2_000)
-    assert len(made.fleet.drained) == 1_001 and "umea" in made.fleet.drained
+    apply_watch(store_feed, [*many, item(DRAINED, 2_000)], 2_000)
+    assert len(store_feed.fleet.drained) == 1_001 and "umea" in store_feed.fleet.drained
--- a/tests/carrier/test_processes.py
+++ b/tests/carrier/test_processes.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback between stand-ins of the store, the callers and the upstreams."""
+"""Real daemons on loopback, with stand-ins for the store, the callers and the upstreams."""
 
 import signal
 import socket
@@ -17,11 +17,10 @@
         yield made
 
 
-def test_flows_open_and_go_on_when_every_process_is_replaced(running):
-    """Callers are connected; every process is killed and started anew, one after the other.
+def test_flows_continue_when_every_process_is_replaced(running):
+    """Every daemon is killed and restarted in turn; each open flow must continue at its home.
 
-    Nobody remembers a flow but its upstream. Packets are sent again until the daemons are back,
-    and each open flow goes on where it was.
+    After the restarts only the upstreams hold the flows.
     """
     callers, homes = [], []
     while len(callers) < 12 or len(set(homes)) < 3:
@@ -39,8 +38,8 @@
     assert not any(caller.resets for caller in callers)
 
 
-def test_a_stop_by_sigterm_ends_with_status_0_and_after_the_fabric_had_time(running):
-    """The fabric asks twice a second whether packets may come; a leaving balancer says no."""
+def test_sigterm_exits_with_status_0_after_the_fabric_could_react(running):
+    """A leaving balancer must refuse readiness and serve until the fabric has removed it."""
     balancer, sidecar = running.balancers[0], running.sidecars[0]
     began = time.monotonic()
     running.signal(balancer, signal.SIGTERM)
@@ -53,8 +52,8 @@
     assert any("event=stop " in line for line in running.lines(balancer))
 
 
-def test_metrics_tell_what_became_of_flows_and_of_the_store(running):
-    """A caller's flow opens and is answered; both daemons on its path have counted that."""
+def test_metrics_count_flows_and_store_reads(running):
+    """Both daemons on a flow's path must count its opening and its answer."""
     caller = running.caller(running.balancers[0])
     running.answered(caller)
     running.wait(lambda: running.metrics(running.balancers[0])["ebonystile_view_fresh"] == 1)
@@ -69,8 +68,8 @@
     assert running.page(running.balancers[0], running.ports.metrics, "/x").status == 404
 
 
-def test_a_taken_metrics_address_stops_no_flow(tmp_path):
-    """Another program has the port: the daemon says so in its log and carries flows."""
+def test_a_metrics_address_in_use_stops_no_flow(tmp_path):
+    """If another program has the port, the daemon logs an error and carries flows."""
     with installation.Installation(tmp_path) as running:
         balancer = running.balancers[0]
         running.kill(balancer)
@@ -95,14 +94,13 @@
     refused = running.caller(running.balancers[1])
     running.wait(lambda: refused.resets == 1, 2)
     running.configure({installation.ROUTE: installation.SERVICE})
-    running.wait(lambda: retried(running), 5)
+    running.wait(lambda: is_served(running), 5)
 
 
-def test_a_balancer_that_starts_from_an_old_state_knows_what_has_changed_since(running):
-    """The store gives starting processes a state of some seconds ago, which is cheaper to read.
+def test_a_balancer_started_from_a_stale_list_gets_later_changes(running):
+    """A starting balancer reads lists that may be some seconds old, as these are cheaper.
 
-    Since then the route was dropped and come back. A balancer that went by what it read first would
-    hold an older version than others; its first watch brings the present one at once.
+    Its first watch must deliver the current version, or it would route by an older one.
     """
     running.store.age()
     running.configure({("198.18.0.9", 80): installation.SERVICE})
@@ -117,18 +115,15 @@
     running.answered(running.caller(balancer))
 
 
-def retried(running):
+def is_served(running):
     caller = running.caller(running.balancers[1])
     time.sleep(0.2)
     return caller.answer is not None
 
 
 @pytest.mark.parametrize("mode", [store.REFUSING, store.SILENT])
-def test_flows_open_while_the_store_is_away_and_after_a_restart(running, mode):
-    """The store fails; callers go on. A balancer that starts meanwhile learns from its peers.
-
-    It knows nobody but its seeds, one of which gives it the list that it has.
-    """
+def test_flows_open_while_the_store_is_unreachable_and_after_a_restart(running, mode):
+    """A balancer that starts while the store fails must read the lists from its seeds."""
     running.store.set_mode(mode)
     running.answered(running.caller(running.balancers[0]))
     running.kill(running.balancers[0])
@@ -147,8 +142,8 @@
     )
 
 
-def test_a_store_that_forgets_and_entries_of_other_writers_harm_nobody(running):
-    """The store drops its history; somebody writes entries and a configuration without sense."""
+def test_lost_history_and_malformed_items_stop_no_flow(running):
+    """The store loses its history; other writers add malformed entries and a configuration."""
     running.store.put("servers/rubbish", b"\xff\xfe")
     running.store.put("servers/strange", {"service": installation.SERVICE, "state": "asleep"})
     running.store.put("op/config", b"[]")
@@ -160,11 +155,8 @@
     assert "event=bug" not in log
 
 
-def test_a_paused_sidecar_is_passed_by_and_takes_part_again(running):
-    """A sidecar stands still; new flows open at the others within the first copy.
-
-    When it goes on it reads everything anew and gets flows again.
-    """
+def test_a_paused_sidecar_gets_no_flows_until_it_resumes(running):
+    """New flows must open at other sidecars, and at this one again after it has resumed."""
     paused = running.sidecars[0]
     running.signal(paused, signal.SIGSTOP)
     callers = [running.caller(running.balancers[0]) for _ in range(9)]
@@ -173,15 +165,15 @@
     time.sleep(1.6)
     running.signal(paused, signal.SIGCONT)
     running.wait(lambda: any("event=woke" in line for line in running.lines(paused)), 3)
-    running.wait(lambda: took_one(running, paused), 10)
+    running.wait(lambda: opens_flow_at(running, paused), 10)
 
 
-def took_one(running, machine):
+def opens_flow_at(running, machine):
     caller = running.caller(running.balancers[0])
     return running.answered(caller) == machine.name.encode()
 
 
-def test_settings_that_change_are_read_again_and_bad_ones_change_nothing(running):
+def test_changed_settings_are_reloaded_and_invalid_ones_ignored(running):
     balancer = running.balancers[0]
     good = balancer.settings.read_text()
     balancer.settings.write_text("{")
@@ -193,7 +185,7 @@
 
 
 def test_a_log_that_nobody_reads_stops_no_packet(tmp_path):
-    """Standard output is a full pipe that nobody empties, as when a log collector hangs."""
+    """Standard output is a full pipe without a reader, as when a log collector hangs."""
     made = installation.Installation(tmp_path)
     with made:
         balancer = made.balancers[0]
@@ -207,12 +199,8 @@
         assert balancer.process.poll() is None
 
 
-def test_signals_during_the_imports_of_a_start_end_nothing_by_their_default_action():
-    """The platform changes the settings and sends SIGHUP while a daemon is being started.
-
-    By its default action the signal would end the process, and the instance would serve nobody
-    until the next start. SIGTERM ends it, with status 0, as it holds nothing yet.
-    """
+def test_signals_during_the_startup_imports_do_not_take_their_default_action():
+    """SIGHUP must not end a starting daemon; SIGTERM must end it with status 0."""
     program = (
         "import time; from ebonystile.carrier import __main__ as started; "
         "started.install_signal_handlers(); print('ready', flush=True); time.sleep(30)"
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -1,4 +1,4 @@
-"""Calls between processes over real sockets: what a relay answers, and how calls fail."""
+"""The store relay and the HTTP client over real sockets: answers, timeouts, lost connections."""
 
 import socket
 
@@ -16,8 +16,8 @@
         return probe.getsockname()
 
 
-class Bench:
-    """A relay and a client of it on one loop."""
+class Harness:
+    """A relay and its client on one event loop."""
 
     def __init__(self):
         self.loop = loop.Loop()
@@ -27,19 +27,19 @@
         self.client = calls.Client(self.loop, address)
         self.results = []
 
-    def get(self, kind, limit=2_000, begin=None, **more):
+    def get(self, kind, timeout_ms=2_000, first_byte_ms=None, **more):
         now = clock.now()
-        call = reading.Call(kind, now + limit, wait_until=now + 300, **more)
+        call = reading.Call(kind, now + timeout_ms, wait_until=now + 300, **more)
         self.client.get(
             store.build_path(call, now),
             call.deadline,
             lambda status, body: self.results.append((call, status, body)),
             lambda reason: self.results.append((call, 0, reason)),
-            first_byte_by=None if begin is None else now + begin,
+            first_byte_by=None if first_byte_ms is None else now + first_byte_ms,
         )
 
-    def step_until(self, done, limit=3_000):
-        end = clock.now() + limit
+    def step_until(self, done, timeout_ms=3_000):
+        end = clock.now() + timeout_ms
         self.loop.every(20, lambda: None)
         while not done() and clock.now() < end:
             self.loop.step()
@@ -56,108 +56,107 @@
 
 
 @pytest.fixture
-def bench():
-    made = Bench()
-    yield made
-    made.client.cancel()
-    made.relay.server.close()
+def harness():
+    created = Harness()
+    yield created
+    created.client.cancel()
+    created.relay.server.close()
 
 
 def entry(name, revision, tombstone=False):
     return entries.Item(f"servers/{name}", b"\x00\xff", revision, tombstone)
 
 
-def fill(bench, count=3, revision=10):
+def fill(harness, count=3, revision=10):
     for number in range(count):
-        bench.relay.add_item(entry(f"u{number:04}", number + 1))
-    bench.relay.restart(revision)
-    bench.relay.advance(revision)
+        harness.relay.add_item(entry(f"u{number:04}", number + 1))
+    harness.relay.restart(revision)
+    harness.relay.advance(revision)
 
 
-def test_a_list_comes_whole_over_several_pages(bench):
-    fill(bench, count=relay.PAGE_ITEMS + 3, revision=9_000)
-    bench.get(reading.Kind.ENTRIES)
-    first = bench.result()
-    bench.get(reading.Kind.ENTRIES, after=first.next_after)
-    second = bench.result()
+def test_a_list_is_complete_over_several_pages(harness):
+    fill(harness, count=relay.PAGE_ITEMS + 3, revision=9_000)
+    harness.get(reading.Kind.ENTRIES)
+    first = harness.result()
+    harness.get(reading.Kind.ENTRIES, after=first.next_after)
+    second = harness.result()
     keys = [item.key for item in (*first.items, *second.items)]
-    assert keys == sorted(bench.relay.items) and not second.next_after
+    assert keys == sorted(harness.relay.items) and not second.next_after
     assert first.items[0].value == b"\x00\xff" and first.current and first.revision == 9_000
 
 
-def test_a_watch_is_answered_when_something_changes(bench):
-    fill(bench)
-    bench.get(reading.Kind.WATCH, revision=10)
-    bench.step_until(lambda: bench.relay.pending_watches)
-    bench.relay.add_item(entry("u0000", 11, tombstone=True))
-    bench.relay.advance(11)
-    news = bench.result()
-    assert [(i.key, i.tombstone) for i in news.items] == [("servers/u0000", True)]
-    assert news.revision == 11
-    assert "servers/u0000" not in bench.relay.items
+def test_a_watch_is_answered_when_something_changes(harness):
+    fill(harness)
+    harness.get(reading.Kind.WATCH, revision=10)
+    harness.step_until(lambda: harness.relay.pending_watches)
+    harness.relay.add_item(entry("u0000", 11, tombstone=True))
+    harness.relay.advance(11)
+    changes = harness.result()
+    assert [(i.key, i.tombstone) for i in changes.items] == [("servers/u0000", True)]
+    assert changes.revision == 11
+    assert "servers/u0000" not in harness.relay.items
 
 
-def test_a_watch_without_news_ends_in_its_time(bench):
-    fill(bench)
-    bench.get(reading.Kind.WATCH, revision=10)
-    news = bench.result()
-    assert news.items == () and news.revision == 10
+def test_a_watch_without_changes_ends_at_its_deadline(harness):
+    fill(harness)
+    harness.get(reading.Kind.WATCH, revision=10)
+    changes = harness.result()
+    assert changes.items == () and changes.revision == 10
 
 
-def test_a_reader_that_is_too_far_behind_is_told_to_read_everything(bench):
-    fill(bench)
-    bench.get(reading.Kind.WATCH, revision=9)
-    assert isinstance(bench.result(), store.HistoryLost)
+def test_a_watch_from_before_the_history_gets_history_lost(harness):
+    fill(harness)
+    harness.get(reading.Kind.WATCH, revision=9)
+    assert isinstance(harness.result(), store.HistoryLost)
 
 
-def test_a_relay_that_has_lost_the_store_answers_no_watch_but_gives_its_list(bench):
-    """Two relays that read from one another would take old news for the store's present word.
+def test_a_relay_that_has_lost_the_store_refuses_watches_and_serves_its_list(harness):
+    """Two relays that read from each other would treat stale data as current.
 
-    So a watch is refused, at once even if it was waiting; a process that starts while the store
-    refuses it gets the list, marked as not current.
+    Open watches are refused at once too; lists are served, marked as not current.
     """
-    fill(bench)
-    bench.get(reading.Kind.WATCH, revision=10)
-    bench.step_until(lambda: bench.relay.pending_watches)
-    bench.direct = False
-    bench.relay.expire_watches(clock.now())
-    assert bench.status() == 503
-    bench.get(reading.Kind.WATCH, revision=10)
-    assert bench.status() == 503
-    bench.get(reading.Kind.ENTRIES)
-    assert not bench.result().current
-
-
-def test_calls_on_one_connection_follow_one_another(bench):
-    fill(bench)
+    fill(harness)
+    harness.get(reading.Kind.WATCH, revision=10)
+    harness.step_until(lambda: harness.relay.pending_watches)
+    harness.direct = False
+    harness.relay.expire_watches(clock.now())
+    assert harness.status() == 503
+    harness.get(reading.Kind.WATCH, revision=10)
+    assert harness.status() == 503
+    harness.get(reading.Kind.ENTRIES)
+    assert not harness.result().current
+
+
+def test_successive_calls_reuse_the_connection(harness):
+    fill(harness)
     for _ in range(3):
-        bench.get(reading.Kind.ENTRIES)
-        assert bench.status() == 200
-    assert len(bench.relay.server.connections) == 1
+        harness.get(reading.Kind.ENTRIES)
+        assert harness.status() == 200
+    assert len(harness.relay.server.connections) == 1
 
 
-def test_a_call_of_a_port_where_nobody_listens_fails_at_once():
-    made = Bench()
-    made.relay.server.close()
+def test_a_call_of_a_closed_port_fails_at_once():
+    harness = Harness()
+    harness.relay.server.close()
     started = clock.now()
-    made.get(reading.Kind.ENTRIES)
-    assert made.status() == 0 and clock.now() - started < 1_000
+    harness.get(reading.Kind.ENTRIES)
+    assert harness.status() == 0 and clock.now() - started < 1_000
 
 
 def test_a_call_without_an_answer_fails_at_its_deadline():
-    """The server accepts the connection and never answers, as one that was stopped."""
-    made = Bench()
-    made.relay.server.close()
+    """The server accepts the connection and never answers, as a suspended process does."""
+    harness = Harness()
+    harness.relay.server.close()
     with silent_server() as silent:
-        made.client.server = silent.getsockname()
+        harness.client.server = silent.getsockname()
         started = clock.now()
-        made.get(reading.Kind.ENTRIES, limit=300)
-        assert made.status() == 0
+        harness.get(reading.Kind.ENTRIES, timeout_ms=300)
+        assert harness.status() == 0
         assert 250 <= clock.now() - started < 2_000
 
 
 def silent_server():
-    """Return a socket that accepts connections and says nothing."""
+    """Return a socket that accepts connections and sends nothing."""
     silent = socket.socket()
     silent.bind(("127.0.0.1", 0))
     silent.listen()
@@ -165,73 +164,73 @@
 
 
 def test_a_call_whose_answer_does_not_begin_fails_before_its_deadline():
-    """The store keeps silent when a process starts; its callers wait until it asks elsewhere."""
-    made = Bench()
+    """An unresponsive store must not delay the switch of a starting process to a relay."""
+    harness = Harness()
     with silent_server() as silent:
-        made.client.server = silent.getsockname()
+        harness.client.server = silent.getsockname()
         started = clock.now()
-        made.get(reading.Kind.ENTRIES, limit=2_000, begin=200)
-        made.step_until(lambda: made.results)
-        assert made.results[0][2] == "no first byte of an answer in time"
+        harness.get(reading.Kind.ENTRIES, timeout_ms=2_000, first_byte_ms=200)
+        harness.step_until(lambda: harness.results)
+        assert harness.results[0][2] == "no first byte of an answer in time"
         assert 150 <= clock.now() - started < 1_500
 
 
 def test_an_answer_that_has_begun_may_take_until_the_deadline():
-    """A narrow line carries a large configuration for longer than an answer takes to begin."""
-    made = Bench()
+    """A large configuration takes longer over a slow link than the first-byte timeout."""
+    harness = Harness()
     with silent_server() as slow:
-        made.client.server = slow.getsockname()
-        made.get(reading.Kind.ENTRIES, limit=2_000, begin=200)
+        harness.client.server = slow.getsockname()
+        harness.get(reading.Kind.ENTRIES, timeout_ms=2_000, first_byte_ms=200)
         connection, _ = slow.accept()
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{")
         waited = clock.now() + 400
-        made.step_until(lambda: clock.now() >= waited)
-        assert made.results == []
+        harness.step_until(lambda: clock.now() >= waited)
+        assert harness.results == []
         connection.sendall(b"}")
-        assert made.status() == 200
+        assert harness.status() == 200
         connection.close()
 
 
-def test_bytes_that_are_no_http_close_the_connection_and_nothing_else(bench):
-    fill(bench)
-    with socket.create_connection(bench.relay.server.socket.getsockname()) as rude:
-        rude.sendall(b"\x16\x03\x01 rubbish\r\n\r\n")
-        rude.settimeout(0.05)
+def test_malformed_http_closes_only_its_connection(harness):
+    fill(harness)
+    with socket.create_connection(harness.relay.server.socket.getsockname()) as malformed:
+        malformed.sendall(b"\x16\x03\x01 rubbish\r\n\r\n")
+        malformed.settimeout(0.05)
         closed = []
 
-        def hung_up():
+        def is_closed():
             try:
-                closed.append(rude.recv(100))
+                closed.append(malformed.recv(100))
             except TimeoutError:
                 return False
             except ConnectionError:
                 return True
             return closed[-1] == b""
 
-        bench.step_until(hung_up)
-    bench.get(reading.Kind.ENTRIES)
-    assert bench.status() == 200
+        harness.step_until(is_closed)
+    harness.get(reading.Kind.ENTRIES)
+    assert harness.status() == 200
 
 
-class Reader:
-    """A connection that keeps what it is answered."""
+class RecordingConnection:
+    """A connection that records its responses."""
 
     def __init__(self):
-        self.pages = []
+        self.responses = []
 
-    def answer(self, page):
-        self.pages.append(page)
+    def answer(self, response):
+        self.responses.append(response)
 
 
-def test_one_answer_is_made_for_all_readers_that_stand_at_one_revision(bench):
-    """Fifty readers wait; a change comes. Making each an answer of its own took 7 ms a change."""
-    bench.relay.restart(4)
-    readers = [Reader() for _ in range(50)]
-    bench.relay.pending_watches = [
-        relay.PendingWatch(reader, 4, clock.now() + 1_000) for reader in readers
+def test_watches_from_one_revision_share_one_answer(harness):
+    """Encoding the answer once for each watch would block the event loop."""
+    harness.relay.restart(4)
+    connections = [RecordingConnection() for _ in range(50)]
+    harness.relay.pending_watches = [
+        relay.PendingWatch(connection, 4, clock.now() + 1_000) for connection in connections
     ]
-    bench.relay.add_item(entries.Item("servers/u1", b"{}", 5))
-    bench.relay.advance(5)
-    assert [len(reader.pages) for reader in readers] == [1] * 50
-    assert len({id(reader.pages[0]) for reader in readers}) == 1
-    assert not bench.relay.pending_watches
+    harness.relay.add_item(entries.Item("servers/u1", b"{}", 5))
+    harness.relay.advance(5)
+    assert [len(connection.responses) for connection in connections] == [1] * 50
+    assert len({id(connection.responses[0]) for connection in connections}) == 1
+    assert not harness.relay.pending_watches
--- a/tests/carrier/test_shell.py
+++ b/tests/carrier/test_shell.py
@@ -1,4 +1,4 @@
-"""What a running daemon takes from settings that change."""
+"""The reload of settings by a running daemon."""
 
 import types
 
@@ -7,17 +7,17 @@
 from ebonystile.platform import node
 
 
-def test_regions_are_those_of_the_newest_settings(monkeypatch):
-    """A zone is added while the daemon runs; its upstreams would be in no region."""
+def test_a_reload_applies_new_regions(monkeypatch):
+    """A zone added while the daemon runs must get its region without a restart."""
     settings = node.Node(
         "n", "balancer", "a", "10.0.0.1:1", "10.0.0.1:2", 7720, "10.0.0.9:3", regions={"b": "south"}
     )
     monkeypatch.setattr(node, "path", lambda: None)
     monkeypatch.setattr(node, "read", lambda path: settings)
-    known = fleet.Fleet()
-    running = types.SimpleNamespace(
-        feed=types.SimpleNamespace(fleet=known),
+    members = fleet.Fleet()
+    daemon = types.SimpleNamespace(
+        feed=types.SimpleNamespace(fleet=members),
         log=types.SimpleNamespace(event=lambda *arguments, **fields: None),
     )
-    shell.Shell.reload(running)
-    assert known.is_in_regions("b", ("south",)) and not known.is_in_regions("a", ("south",))
+    shell.Shell.reload(daemon)
+    assert members.is_in_regions("b", ("south",)) and not members.is_in_regions("a", ("south",))
--- a/tests/carrier/test_soak.py
+++ b/tests/carrier/test_soak.py
@@ -1,4 +1,4 @@
-"""Play a few seconds of the soak with fixed seeds; `python -m tests.soak` plays more by hand."""
+"""Run the soak for a few seconds with fixed seeds; `python -m tests.soak` runs more by hand."""
 
 import pytest
 
@@ -7,12 +7,10 @@
 SECONDS = 8.0
 
 SEEDS = [1, 2, 112, 113, 119, 329]
-"""Two that cover every kind of fault between them, and each seed that ever failed.
+"""Seeds 1 and 2 cover every kind of fault; the others reproduce faults found by the soak.
 
-112, 113, 119: an upstream crashed while the store was away; when its new entry came, its sidecar
-forgot the flows that had opened there since, and other balancers showed their packets to others or
-reset them. 329: SIGTERM reached a sidecar whose modules were still being imported, and its status
-was that of the signal.
+112, 113, 119: flows opened after an upstream's crash in an outage of the store are lost when its
+new entry arrives. 329: SIGTERM during the imports ends a sidecar with the signal's status.
 """
 
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""What lies in the platform's store: entries of other writers must name no upstream."""
+"""Parsing of the store's items; malformed items of other writers must be refused."""
 
 import base64
 import json
@@ -44,7 +44,7 @@
     return entries.Item(key, data, 1, **more)
 
 
-def test_an_entry_names_its_upstream():
+def test_an_entry_gives_its_upstream():
     made = entries.upstream_of(item(ENTRY), 7720, now=1_000)
     assert made.name == "i-1" and made.started_at == 1_764_700_000_000
     assert made.address == ("10.128.0.9", 7720)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("missing", ["service", "address", "zone", "max_concurrency", "state"])
-def test_an_entry_without_a_field_names_nobody(missing):
+def test_an_entry_without_a_required_field_is_refused(missing):
     body = {k: v for k, v in ENTRY.items() if k != missing}
     with pytest.raises(errors.PlatformError):
         entries.upstream_of(item(body), 1, 0)
@@ -84,13 +84,13 @@
         ("service", None),
     ],
 )
-def test_an_entry_with_a_field_of_another_kind_names_nobody(field, value):
+def test_an_entry_with_an_invalid_field_is_refused(field, value):
     with pytest.raises(errors.PlatformError):
         entries.upstream_of(item({**ENTRY, field: value}), 1, 0)
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_any_bytes_in_the_store_name_nobody(value):
+def test_random_bytes_are_refused(value):
     with pytest.raises(errors.PlatformError):
         entries.upstream_of(item(value), 1, 0)
     with pytest.raises(errors.PlatformError):
@@ -105,7 +105,7 @@
 
 
 @hypothesis.given(strategies.sampled_from(sorted(ENTRY)), JSON)
-def test_any_value_in_a_field_gives_an_upstream_or_none(field, value):
+def test_any_value_in_a_field_gives_an_upstream_or_an_error(field, value):
     try:
         made = entries.upstream_of(item({**ENTRY, field: value}), 1, 0)
     except errors.PlatformError:
@@ -115,7 +115,7 @@
 
 def test_a_configuration_gives_routes_and_their_split():
     made = entries.routes_of(item(CONFIGURATION))
-    assert made.version == 7 and made.idle == 9_000
+    assert made.version == 7 and made.idle_timeout_ms == 9_000
     flows = [packet.end_of("100.64.0.1", port) for port in range(1_000, 2_000)]
     split = [made.find(f + packet.end_of("198.18.0.1", 8443)) for f in flows]
     chosen = [r.service_of(f) for r, f in zip(split, flows, strict=True)]
@@ -136,7 +136,7 @@
     return reading.Call(kind, 10_000, **more)
 
 
-def test_pages_of_entries_are_followed_by_their_last_key():
+def test_the_next_page_starts_after_the_last_key():
     body = {
         "items": [{"key": "servers/i 1", "value": base64.b64encode(b"{}").decode(), "revision": 4}],
         "has_more": True,
@@ -149,7 +149,7 @@
     assert path == "/-/kv-range?prefix=servers/&after=servers%2Fi%201"
 
 
-def test_a_watch_brings_items_and_tombstones():
+def test_a_watch_returns_items_and_tombstones():
     body = {
         "events": [
             {"key": "servers/a", "value": "e30=", "revision": 412, "created": 412, "lease": 7},
@@ -163,7 +163,7 @@
     assert store.build_path(asked, 1_000).endswith("after=411&wait_ms=4000")
 
 
-def test_a_store_that_has_forgotten_is_told_from_one_that_fails():
+def test_lost_history_is_distinguished_from_failures():
     asked = call(reading.Kind.WATCH)
     assert isinstance(store.parse_result(asked, 410, b""), store.HistoryLost)
     for status in (429, 500, 503, 404):
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -1,4 +1,4 @@
-"""The settings that the platform fills in: the template, the checks, and what `check` tells."""
+"""The settings file: its template, its validation and the output of `check`."""
 
 import json
 import pathlib
@@ -22,7 +22,7 @@
     return path
 
 
-def test_the_example_holds():
+def test_the_example_is_valid():
     read = node.read(EXAMPLE)
     assert read.host == "127.0.0.12" and read.internal == ("127.0.0.12", 7720)
 
@@ -39,12 +39,12 @@
         {"seeds": ["x"]},
     ],
 )
-def test_a_fault_is_told_with_the_file(tmp_path, change):
+def test_an_invalid_field_is_reported_with_the_file(tmp_path, change):
     with pytest.raises(errors.SettingsError, match="node.json"):
         node.read(changed(tmp_path, **change))
 
 
-def test_a_missing_file_or_variable_is_told(tmp_path, monkeypatch):
+def test_a_missing_file_or_variable_is_reported(tmp_path, monkeypatch):
     with pytest.raises(errors.SettingsError):
         node.read(tmp_path / "none.json")
     monkeypatch.delenv(node.FILE_VARIABLE, raising=False)
@@ -58,7 +58,7 @@
     assert set(node.MEANINGS) == set(node.FORMATS) == set(node.Node.__struct_fields__)
 
 
-def test_check_accepts_and_explains_them(tmp_path):
+def test_check_accepts_and_explains_the_fields(tmp_path):
     ran = click.testing.CliRunner().invoke(operator.main, ["check", str(EXAMPLE)])
     assert ran.exit_code == 0
     assert "carrier settings ok" in ran.output
@@ -69,7 +69,7 @@
     assert ran.exit_code == 2 and "nowhere" in ran.output
 
 
-def test_every_field_stands_on_the_platforms_page():
+def test_every_field_is_on_the_platform_page():
     page = (ROOT / "docs" / "PLATFORM.md").read_text()
     for name, meaning in node.MEANINGS.items():
         assert f"| `{name}` | {meaning} |" in page
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -1,4 +1,4 @@
-"""The platform's packet heads: what is read from them, and that nothing in them is changed."""
+"""Parsing of the platform's packet headers; packets must be forwarded unchanged."""
 
 import hypothesis
 import pytest
@@ -20,7 +20,7 @@
 POSITION = strategies.integers(0, (1 << 32) - 1)
 
 
-def test_the_published_example_is_read():
+def test_the_published_example_is_parsed():
     shown = packets.from_caller(OPENING)
     assert shown.flow == CALLER + ROUTE
     assert packet.flow_text(shown.flow) == "100.64.0.7:40001>198.18.0.1:443"
@@ -28,7 +28,7 @@
     assert shown.sequence == 0x11223344
 
 
-def test_a_reset_is_written_as_published():
+def test_a_reset_matches_the_published_example():
     assert packets.make_reset(CALLER + ROUTE, 0) == RESET
 
 
@@ -40,7 +40,7 @@
 
 
 @hypothesis.given(POSITION, POSITION, strategies.binary(max_size=packets.MAX_DATA_BYTES))
-def test_both_directions_of_a_flow_have_one_name(sequence, acknowledged, data):
+def test_both_directions_are_parsed_to_the_same_flow(sequence, acknowledged, data):
     there = ends.pack(CALLER, ROUTE, packets.ACK, sequence, acknowledged, data)
     back = ends.pack(ROUTE, CALLER, packets.ACK, acknowledged, sequence, data)
     shown, sent = packets.from_caller(there), packets.from_upstream(back)
@@ -50,10 +50,10 @@
 
 
 @hypothesis.given(POSITION, strategies.binary(max_size=packets.MAX_DATA_BYTES))
-def test_a_packet_that_an_upstream_returned_is_the_callers_again(sequence, data):
-    """An upstream that does not hold a flow gives its packet back with a mark.
+def test_a_returned_packet_is_restored_to_the_callers(sequence, data):
+    """An upstream that does not hold a flow returns its packet with the RETURNED flag set.
 
-    Sent on with that mark it would not be the packet that the caller wrote.
+    Forwarded with that flag it would differ from the packet that the caller sent.
     """
     there = ends.pack(CALLER, ROUTE, packets.SYN, sequence, 0, data)
     back = packets.from_upstream(ends.mark_returned(there))
@@ -61,10 +61,10 @@
 
 
 @pytest.mark.parametrize("cut", range(packets.HEADER.size))
-def test_a_cut_off_head_is_no_packet(cut):
+def test_a_truncated_header_is_refused(cut):
     assert packets.from_caller(OPENING[:cut]) is None
     assert packets.from_upstream(OPENING[:cut]) is None
 
 
-def test_a_length_that_does_not_fit_is_no_packet():
+def test_a_wrong_length_is_refused():
     assert packets.from_caller(OPENING + b"x") is None
--- a/tests/platform/test_platform_client.py
+++ b/tests/platform/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Check that the client believes no answer of the platform that does not hold together."""
+"""The client must refuse malformed and inconsistent answers of the platform."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def canned(serve):
-    """Return a function that serves one fixed answer and returns a client for it."""
+    """Return a function that serves one fixed answer and returns a client of it."""
     return lambda answer: client.make_platform(serve(answer))
 
 
@@ -49,7 +49,7 @@
         b" " * (client.MAX_ANSWER_BYTES + 1),
     ],
 )
-def test_bad_watches_are_one_typed_error(canned, body):
+def test_invalid_watch_answers_raise_platform_errors(canned, body):
     with pytest.raises(errors.PlatformError):
         canned(web.Answer(200, body)).watch(5, 0)
 
@@ -67,14 +67,14 @@
         {"zone": None},
     ],
 )
-def test_bad_instances_are_one_typed_error(canned, change):
+def test_invalid_instances_raise_platform_errors(canned, change):
     entry = {**INSTANCE, **change}
     body = json.dumps({"revision": 1, "instances": [entry], "more": False}).encode()
     with pytest.raises(errors.PlatformError):
         canned(web.Answer(200, body)).instances(0, 0)
 
 
-def test_good_answers_pass(canned):
+def test_valid_answers_are_returned(canned):
     watched = canned(web.Answer(200, values(9, 6, 8))).watch(5, 0)
     assert [entry.revision for entry in watched.entries] == [6, 8]
     entry = {**INSTANCE, "added later": 1}
