--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Check that configurations join to the same state in any order and never revert."""
+"""Check that configurations merge to the same state in any order and never revert."""
 
 import itertools
 
@@ -28,7 +28,7 @@
 
 
 def feed(conf, *values, after=None, complete=None):
-    """Give the platform's values (key, revision, value) and return what changed."""
+    """Apply values of the platform, (key, revision, value) each, and return what changed."""
     after = conf.values.complete if after is None else after
     complete = max((v[1] for v in values), default=after) if complete is None else complete
     return conf.apply_values(configuration.values_delta(after, complete, values))
@@ -41,7 +41,7 @@
 
 
 def state(conf):
-    """Return what matters: entries in force, refusals, and the view."""
+    """Return what copies must agree on: the entries in force, the refusals and the view."""
     view = conf.view
     return (
         {k: e for k, e in conf.values.entries.items() if e.value is not None},
@@ -74,7 +74,7 @@
     assert conf.view.revision == 6
 
 
-def test_refused_value_leaves_the_older_in_force_until_it_is_mended():
+def test_refused_value_leaves_the_older_in_force_until_it_is_corrected():
     conf = configuration.Configuration()
     feed(conf, ("services/1", 1, services(line={"app": "line"})))
     _, refusals = feed(conf, ("services/1", 2, services(line={})))
@@ -86,11 +86,10 @@
     assert conf.refused == []
 
 
-def test_newcomer_gets_the_older_value_of_a_refused_key():
-    """A process starts while a faulty value stands on the platform.
+def test_new_process_gets_the_older_value_of_a_refused_key():
+    """A process that starts while the platform has an invalid value must get the valid older one.
 
-    The platform gives it only the faulty one. Without the list of what it lacks it would show the
-    same revision as the others, never ask, and serve without the service that they still serve.
+    It has the same revision as its peers, so only its list of lacking keys makes them send it.
     """
     old = configuration.Configuration()
     feed(old, ("services/1", 1, services(line={"app": "line"})))
@@ -116,7 +115,7 @@
     assert conf.parts.specs.values["line"].selector == (("app", ("two",)),)
 
 
-def test_what_an_instance_says_goes_before_the_list():
+def test_statement_of_an_instance_overrides_the_list():
     conf = configuration.Configuration()
     list_instances(conf, 1, upstream("u1"))
     conf.set_override("u1", upstream("u1", leaving=True))
@@ -163,10 +162,7 @@
 
 
 def test_every_refused_document_gets_its_older_value_in_one_update():
-    """A process starts when two documents in a row are wrong; a peer has the older ones.
-
-    Given one at a time, the first could hold up the second in every exchange.
-    """
+    """Sent one at a time, an entry that is refused again would block all that follow it."""
     peer = configuration.Configuration()
     feed(peer, ("services/a", 1, services(line={"app": "l"})))
     feed(peer, ("services/b", 2, services(photo={"app": "p"})))
@@ -215,7 +211,7 @@
 @settings(max_examples=150, deadline=None)
 @given(HISTORY, CUTS)
 def test_joins_commute_repeat_and_never_revert(history, cuts):
-    """Three copies that read the platform at different times join in every order, twice."""
+    """Three copies that read the platform at different times are merged in every order, twice."""
     results = []
     for order in itertools.permutations(range(3)):
         copies = [read_at(history, cut) for cut in cuts]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Check that control messages and packed updates come back whole, and damaged ones do no harm."""
+"""Check the round trip of gossip messages and packed updates, and that damaged ones are refused."""
 
 import zlib
 
@@ -35,25 +35,25 @@
         zlib.compress(bytes(control.MAX_UPDATE_BYTES + 1)),
     ],
 )
-def test_damaged_update_is_one_typed_error(data):
+def test_damaged_update_raises_a_typed_error(data):
     with pytest.raises(errors.DatagramError):
         control.unpack_update(data)
 
 
-def beat(state=0, news=()):
+def make_gossip(state=0, updates=()):
     sender = ("b9", "balancer", ("10.0.0.9", 7000), "umea", 5, state)
-    return control.Gossip(sender, 0, 0, 1, 1, 0, True, news)
+    return control.Gossip(sender, 0, 0, 1, 1, 0, True, updates)
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        beat(state=7),
-        beat(news=(("x", "upstream", ("10.0.0.1", 7000), "umea", 5, -1),)),
+        make_gossip(state=7),
+        make_gossip(updates=(("x", "upstream", ("10.0.0.1", 7000), "umea", 5, -1),)),
         control.UpdateReply(1, True, 0, b"rubbish"),
     ],
 )
-def test_message_that_cannot_be_used_changes_nothing(message):
+def test_invalid_message_changes_nothing(message):
     made = fleet.Fleet()
     made.publish_value("services/1", {"services": {}})
     node = made.add("b0")
@@ -66,7 +66,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_typed_error(data):
+def test_decoding_any_bytes_gives_a_message_or_a_typed_error(data):
     try:
         message = control.CONTROL.decode(data)
     except errors.DatagramError:
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,22 +1,22 @@
-"""Check that documents are accepted whole or refused with the path of every fault."""
+"""Check that documents are accepted as a whole, or refused with the path of every fault."""
 
 import pytest
 
 from ebonystile.platform import documents
 
-GOOD = {"address": "10.1.0.1:443", "selector": {"app": "line-status"}}
+VALID = {"address": "10.1.0.1:443", "selector": {"app": "line-status"}}
 
 
 @pytest.mark.parametrize(
     ("key", "value"),
     [
         ("services/a", {"services": {}}),
-        ("services/a", {"services": {"line-status": GOOD}}),
-        ("services/a/b", {"services": {"x": {**GOOD, "selector": {"app": ["a", "b"]}}}}),
+        ("services/a", {"services": {"line-status": VALID}}),
+        ("services/a/b", {"services": {"x": {**VALID, "selector": {"app": ["a", "b"]}}}}),
         ("labels/a", {"instances": {"line-1": {"app": "line-status", "leaving": "true"}}}),
     ],
 )
-def test_good_documents(key, value):
+def test_valid_documents(key, value):
     assert documents.list_faults(key, value) == []
 
 
@@ -34,12 +34,12 @@
         ),
         (
             "services/a",
-            {"services": {"x": {**GOOD, "address": "10.0.0.1:0"}}},
+            {"services": {"x": {**VALID, "address": "10.0.0.1:0"}}},
             ['services.x.address: "10.0.0.1:0" has no port from 1 to 65535'],
         ),
         (
             "services/a",
-            {"services": {"x": GOOD, "y": GOOD}},
+            {"services": {"x": VALID, "y": VALID}},
             ['document: "x" and "y" both have the address 10.1.0.1:443'],
         ),
         ("labels/a", {"instances": {"line-1": {"app": 1}}}, ["instances.line-1.app: Input"]),
@@ -54,7 +54,7 @@
 
 
 def test_unknown_key_names_the_nearest():
-    value = {"services": {"x": {**GOOD, "selectors": {}}}}
+    value = {"services": {"x": {**VALID, "selectors": {}}}}
     assert documents.list_faults("services/a", value) == [
         'services.x.selectors: unknown key (did you mean "selector"?)'
     ]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Check that processes come to the newest configuration, and to nothing older, under faults."""
+"""Check that all processes converge on the newest configuration, and never revert, under faults."""
 
 import pytest
 from hypothesis import given, settings
@@ -36,10 +36,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_change_reaches_all_though_watchers_die_and_packets_are_lost(seed):
-    """Callers must meet the new configuration at every balancer within seconds.
+    """A balancer must not serve an old configuration because gossip depends on single messages.
 
-    Every watcher but one is killed at the moment of the change, and each tenth datagram is lost.
-    Whoever is left tells a few peers, they pull and tell others; the random exchange fills gaps.
+    All watchers but one are killed at the moment of the change, and a tenth of datagrams is lost.
     """
     f = make_fleet(12, seed=seed, loss=0.1)
     f.kill(*f.watchers()[:-1])
@@ -48,7 +47,7 @@
 
 
 def test_all_watchers_die_and_others_take_over_within_a_bound():
-    """With every watcher dead no one would hear of a change; the old word of the platform shows."""
+    """Without watchers, no process would learn of a change."""
     f = make_fleet(24)
     f.kill(*f.watchers())
     revision = f.publish_value("services/1", document("second"))
@@ -77,7 +76,7 @@
 
 
 def test_start_from_a_stale_replica_takes_the_peers_higher_revision():
-    """A new balancer that served the replica's old answer would undo an accepted change."""
+    """A new balancer that used the replica's old answer would revert an accepted change."""
     f = make_fleet()
     revision = f.publish_value("services/1", document("second"))
     f.run(10 * SECOND)
@@ -87,7 +86,7 @@
     assert min(node.in_force_at) == revision
 
 
-def test_start_with_every_peer_behind_takes_the_platforms_and_spreads_it():
+def test_start_with_all_peers_behind_takes_the_platforms_revision_and_distributes_it():
     f = make_fleet()
     for node in f.names.values():
         node.platform_up = False
@@ -119,11 +118,10 @@
     assert f.run(60 * SECOND, lambda: f.everyone(1))
 
 
-def test_start_waits_where_peers_show_more_than_they_can_give():
-    """The platform is down and the seeds have spent their budget for updates.
+def test_start_turns_to_other_peers_when_the_seeds_are_busy():
+    """A process that served without a configuration would refuse every caller.
 
-    A process that then served with nothing would refuse every caller; one that starts must go to
-    the peers which the busy ones name.
+    The platform is down and the seeds have spent their budgets for updates.
     """
     f = make_fleet()
     f.platform_up = False
@@ -137,10 +135,9 @@
 
 
 def test_region_cut_off_for_an_hour_comes_back():
-    """One region sees neither the others nor the platform for an hour, then both again.
+    """A region must rejoin after a long partition, although each side counts the other as dead.
 
-    It keeps serving what it has. Afterwards it must take the newer configuration, though each side
-    has come to hold the other for dead.
+    During the partition it serves its last configuration; afterwards it takes the newer one.
     """
     f = make_fleet(6)
     far = [f.names["b2"], f.names["b5"]]
@@ -173,10 +170,9 @@
 
 
 def test_paused_process_does_not_act_before_it_has_caught_up():
-    """A balancer is stopped for a minute while the configuration changes, then wakes.
+    """A balancer that wakes from a pause must not route by the old view.
 
-    Its first decisions would follow the old view. It must say so at once and act again only with
-    the new one, although it wakes to a heap of old messages.
+    The configuration changes during the pause, and old messages wait in the inbox.
     """
     f = make_fleet()
     node = f.names["b4"]
@@ -202,7 +198,7 @@
     assert app_of(late) == "first"
 
 
-def test_sidecar_word_that_it_leaves_goes_before_the_list():
+def test_leaving_statement_of_a_sidecar_overrides_the_list():
     f = make_fleet(6)
     sidecar = f.add("line-1", role="upstream", seeds=["b0", "b1"])
     f.run(10 * SECOND)
@@ -215,10 +211,7 @@
 
 
 def test_upstream_that_stopped_stays_out_of_every_view():
-    """Upstreams leave, stop and are taken off the list, while news of them still goes round.
-
-    A balancer that took that news for life would send callers to upstreams that are no more.
-    """
+    """Membership updates still in circulation must not restore stopped upstreams to any view."""
     f = make_fleet(6)
     sidecars = [f.add(f"line-{i}", role="upstream", seeds=["b0", "b1"]) for i in range(12)]
     f.run(10 * SECOND)
@@ -235,7 +228,7 @@
 
 
 def test_process_replaced_under_its_name_yields():
-    """A process wakes after its replacement, of the same name, has started elsewhere."""
+    """A process that wakes after its replacement has started must not claim its name back."""
     f = make_fleet(6)
     old = f.names["b5"]
     old.paused_until = f.now + 30 * SECOND
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Check which word on a process holds, and that what is kept of the gone is bounded."""
+"""Check which statement on a process prevails, and that the state is bounded."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 ALIVE, LEAVING, SUSPECT, DEAD = membership.MemberState
 
 
-def said(state, generation=5, name="x"):
+def statement(state, generation=5, name="x"):
     return membership.Statement(name, "upstream", ADDRESS, "umea", generation, state)
 
 
@@ -25,23 +25,23 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "holds"),
+    ("first", "second", "prevailing"),
     [
-        (said(ALIVE), said(LEAVING), LEAVING),
-        (said(LEAVING), said(ALIVE), LEAVING),
-        (said(ALIVE), said(SUSPECT), SUSPECT),
-        (said(SUSPECT), said(ALIVE), SUSPECT),
-        (said(SUSPECT), said(ALIVE, 6), ALIVE),
-        (said(ALIVE, 6), said(DEAD), ALIVE),
-        (said(DEAD), said(ALIVE, 6), ALIVE),
+        (statement(ALIVE), statement(LEAVING), LEAVING),
+        (statement(LEAVING), statement(ALIVE), LEAVING),
+        (statement(ALIVE), statement(SUSPECT), SUSPECT),
+        (statement(SUSPECT), statement(ALIVE), SUSPECT),
+        (statement(SUSPECT), statement(ALIVE, 6), ALIVE),
+        (statement(ALIVE, 6), statement(DEAD), ALIVE),
+        (statement(DEAD), statement(ALIVE, 6), ALIVE),
     ],
 )
-def test_word_of_higher_generation_then_of_worse_state_holds(first, second, holds):
+def test_statement_of_higher_generation_then_of_higher_state_prevails(first, second, prevailing):
     members = make()
-    members.apply_statement(said(ALIVE, 1), NOW)
-    for statement in (first, second, first):
-        members.apply_statement(statement, NOW)
-    assert members.statement_of("x").state is holds
+    members.apply_statement(statement(ALIVE, 1), NOW)
+    for each in (first, second, first):
+        members.apply_statement(each, NOW)
+    assert members.statement_of("x").state is prevailing
 
 
 @pytest.mark.parametrize(("own", "state"), [(ALIVE, SUSPECT), (LEAVING, DEAD)])
@@ -54,7 +54,7 @@
     assert members.own.state is own
 
 
-def test_clock_that_stepped_back_before_a_restart_does_not_silence_the_new_process():
+def test_restart_after_the_clock_was_set_back_overrides_the_predecessor():
     members = make()
     predecessor = dataclasses.replace(members.own, generation=NOW + 900)
     members.apply_statement(predecessor, NOW + 100)
@@ -62,10 +62,10 @@
     assert not members.is_superseded
 
 
-def test_suspected_process_counts_as_dead_later_and_is_forgotten_in_the_end():
+def test_suspected_process_becomes_dead_and_is_then_removed():
     limits = membership.Limits()
     members = make()
-    members.receive_statement(said(ALIVE), NOW)
+    members.receive_statement(statement(ALIVE), NOW)
     members.suspect("x", NOW)
     members.prune(NOW + limits.suspect_timeout_ms)
     assert members.statement_of("x").state is DEAD
@@ -73,38 +73,38 @@
     assert members.members == {}
 
 
-def test_word_of_a_process_goes_before_the_list_until_they_agree():
+def test_own_statement_of_a_process_overrides_the_list_until_they_agree():
     listed = assembly.Instance("x", "upstream", ADDRESS, "umea", False)
     members = make(x=listed)
     assert members.override_for("x") is None
-    members.receive_statement(said(LEAVING), NOW)
+    members.receive_statement(statement(LEAVING), NOW)
     assert members.override_for("x").leaving
     members.listed = {"x": store.Entry(2, dataclasses.replace(listed, leaving=True))}
     assert members.override_for("x") is None
 
 
-def test_unlisted_process_counts_only_while_it_is_heard():
+def test_unlisted_process_is_removed_unless_it_sends_messages():
     members = make()
-    members.receive_statement(said(ALIVE), NOW)
+    members.receive_statement(statement(ALIVE), NOW)
     assert members.override_for("x") is not None
     assert members.prune(NOW + membership.Limits().unlisted_ttl_ms) == ["x"]
     assert members.override_for("x") is None
 
 
-def test_what_is_kept_is_bounded(monkeypatch):
+def test_members_and_updates_are_bounded(monkeypatch):
     monkeypatch.setattr(membership, "MAX_MEMBERS", 50)
     members = make()
     for i in range(200):
-        members.receive_statement(said(ALIVE, name=f"x{i}"), NOW + i)
+        members.receive_statement(statement(ALIVE, name=f"x{i}"), NOW + i)
     assert len(members.members) == 50
     assert len(members.updates) <= membership.MAX_UPDATES
-    passed_on = 0
+    sent = 0
     while members.updates:
-        passed_on += len(members.take_updates())
-    assert passed_on < membership.MAX_UPDATES * 40
+        sent += len(members.take_updates())
+    assert sent < membership.MAX_UPDATES * 40
 
 
-def test_budget_refuses_beyond_its_burst_and_says_when_to_come_back():
+def test_budget_refuses_beyond_its_burst_until_the_time_it_returns():
     allowance = budget.Budget(rate=1_000, burst=2_000)
     assert allowance.take(1_500, NOW)
     assert not allowance.take(1_000, NOW)
