--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -308,8 +308,8 @@
 
     def remove_upstream(self, name: str, reason: str, now: int) -> None:
         """Drop an upstream; only after a grace period if an outage may have lost its entry."""
-        returned_at = now if self.reader.failures else self.reader.returned_at
-        keep_until = returned_at + fleet.RELIST_GRACE_MS if returned_at else 0
+        recovered_at = now if self.reader.failures else self.reader.recovered_at
+        keep_until = recovered_at + fleet.RELIST_GRACE_MS if recovered_at else 0
         gone = self.fleet.remove(name, now, keep_until)
         self.log.event("upstream_gone", upstream=name, reason=reason, at_once=gone)
 
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -55,7 +55,7 @@
         """Pass the changed view of the store to the core and send due announcements."""
         self.core.is_view_current = self.feed.reader.is_current
         self.core.revision = self.feed.reader.revision or 0
-        self.core.announcer.relays = self.feed.sources.announces_relay
+        self.core.announcer.is_relay = self.feed.sources.announces_relay
         now = clock.now()
         self.core.on_view(now)
         self.apply_effects(self.core.announce(now))
--- a/src/ebonystile/core/carrying/announcing.py
+++ b/src/ebonystile/core/carrying/announcing.py
@@ -55,11 +55,11 @@
 
 
 class Announcer:
-    """The announcements of one sidecar; `relays` is set if it is a relay."""
+    """The announcements of one sidecar; `is_relay` is set if it is a relay."""
 
     def __init__(self, seeds: tuple[view.Address, ...]):
         self.seeds = seeds
-        self.relays = False
+        self.is_relay = False
         self.unlisted_since: int | None = None
         self.announced_at: int | None = None
 
@@ -74,14 +74,14 @@
             self.announced_at = None
         elif now - self.unlisted_since >= ANNOUNCE_UNLISTED_MS:
             return []
-        if listed and not self.relays:
+        if listed and not self.is_relay:
             return []
         if self.announced_at is not None and now - self.announced_at < self.interval_ms():
             return []
         self.announced_at = now
-        announced = messages.Announce(listed, self.relays)
+        announcement = messages.Announce(listed, self.is_relay)
         addresses = self.seeds if listed else (*self.seeds, *witnesses)
-        return [effects.Send(address, announced) for address in addresses]
+        return [effects.Send(address, announcement) for address in addresses]
 
     def interval_ms(self) -> int:
         """Return the interval between two announcements, in ms."""
@@ -93,8 +93,8 @@
     """Whether seeds or witnesses have confirmed that one balancer's view lacks no sidecar.
 
     `confirmed` is set once a seed, or enough witnesses, that have received announcements for long
-    enough have answered since the view became current. The next questions are due at `ask_at`, the
-    last ones before `give_up_at`; seeds are asked from `seeds_from` on. Times are in ms.
+    enough have answered since the view became current. The next questions are due at `ask_at`, and
+    they end at `give_up_at`; seeds are asked from `seeds_from` on. Times are in ms.
     """
 
     seeds: tuple[view.Address, ...]
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -298,9 +298,9 @@
 
 @act.register
 def _(message: messages.Announce, balancer, received, source, now):
-    if not message.listed:
+    if not message.is_listed:
         announcing.record_unlisted(balancer.fleet, source, now + announcing.SEED_TTL_MS)
-    return [effects.ReadFrom(source)] if message.relays else []
+    return [effects.ReadFrom(source)] if message.is_relay else []
 
 
 @act.register
--- a/src/ebonystile/core/carrying/messages.py
+++ b/src/ebonystile/core/carrying/messages.py
@@ -162,12 +162,12 @@
 class Announce:
     """Announce a sidecar to the seeds, and to the witnesses if its upstream has no entry.
 
-    `listed` is set if the upstream has an entry, `relays` if other processes may read the store's
-    contents from this sidecar.
+    `is_listed` is set if the upstream has an entry, `is_relay` if other processes may read the
+    store's contents from this sidecar.
     """
 
-    listed: bool
-    relays: bool
+    is_listed: bool
+    is_relay: bool
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/ebonystile/core/carrying/reading.py
+++ b/src/ebonystile/core/carrying/reading.py
@@ -70,7 +70,12 @@
 
 
 class Reader:
-    """The state of reading the store; the process makes the calls of `next_call` one at a time."""
+    """The state of reading the store; the process makes the calls of `next_call` one at a time.
+
+    `todo` are the pages still to be read, `complete` is set once all lists have been read, and
+    `provisional` until a watch has confirmed that they are current. `recovered_at` is when the
+    store last answered again after failed calls, in ms.
+    """
 
     def __init__(self, randomness: rng.Rng, now: int):
         self.randomness = randomness
@@ -81,7 +86,7 @@
         self.store_failed = False
         self.provisional = False
         self.failing_since: int | None = None
-        self.returned_at = 0
+        self.recovered_at = 0
         self.complete = False
         self.restart()
         self.allow_stale = True
@@ -143,7 +148,7 @@
     def on_answered(self, now: int) -> None:
         """Record a successful call."""
         if self.store_failed:
-            self.returned_at = now
+            self.recovered_at = now
         self.store_failed = False
         self.failures = 0
         self.failing_since = None
@@ -169,7 +174,7 @@
             self.next_at += pause // 2 + int(self.randomness.uniform(0, pause))
 
     def mark_stale(self, now: int) -> None:
-        """Read everything again, and do not count the view as fresh until that is done."""
+        """Read everything again; the view does not count as current until that is done."""
         self.complete = False
         self.read_now(now)
 
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -1,4 +1,4 @@
-"""Decide for one upstream which packets it receives and what the balancers are answered.
+"""Decide which packets one upstream receives, and answer the balancers' questions about its flows.
 
 The sidecar is the last check before an upstream: every packet to the upstream passes it, and its
 flow table is the authority on which flows the upstream holds.
@@ -122,21 +122,21 @@
         sidecar has no flow that the table misses. Flows already in the table are kept: the first
         may arrive before the entry, and the upstream returns packets of flows of an earlier start.
         """
-        own = self.listed_upstream
+        listed = self.listed_upstream
         if self.fleet.added_count != self.seen_added:
             self.seen_added = self.fleet.added_count
             self.list_grown_at = now
         if self.is_view_current and self.first_view is None:
             self.first_view = frozenset(self.fleet.upstreams)
-        if own is None or own.service != self.service or self.first_view is None:
+        if listed is None or listed.service != self.service or self.first_view is None:
             return
         if (
-            self.last_listed is None or own.incarnation != self.last_listed.incarnation
-        ) and self.is_new(own, now):
+            self.last_listed is None or listed.incarnation != self.last_listed.incarnation
+        ) and self.is_new_start(listed, now):
             self.saw_start = True
-        self.last_listed = own
+        self.last_listed = listed
 
-    def is_new(self, own: fleet.Upstream, now: int) -> bool:
+    def is_new_start(self, listed: fleet.Upstream, now: int) -> bool:
         """Return whether the entry shows an upstream that started after this sidecar, or with it.
 
         Either the entry appeared after the first view, or the entry of an earlier start at the same
@@ -147,9 +147,9 @@
         So after a power loss of all instances every sidecar knows at once that earlier flows are
         gone, and no upstream is probed for each of them.
         """
-        if now >= own.slow_start_until:
+        if now >= listed.slow_start_until:
             return False
-        return own.name not in self.first_view or self.fleet.predecessor(own) is not None
+        return listed.name not in self.first_view or self.fleet.predecessor(listed) is not None
 
     def has_lost_upstream(self, record: table.FlowRecord, now: int) -> bool:
         """Return whether the upstream of an open flow has ended while this sidecar keeps running.
@@ -180,8 +180,8 @@
 
     def load(self, now: int) -> messages.Load:
         """Return the current load of the upstream."""
-        own = self.listed_upstream
-        slots = own.slots if own else 1
+        listed = self.listed_upstream
+        slots = listed.slots if listed else 1
         return messages.Load(
             running=self.table.running_requests(now),
             flows=len(self.table.flows),
@@ -196,16 +196,18 @@
 
     def has_capacity(self, now: int) -> bool:
         """Return whether the limit of the slow start admits one more new flow."""
-        own = self.listed_upstream
+        listed = self.listed_upstream
         slow_start = self.route_table.routes.slow_start_of(self.service)
-        return self.slow_start.has_capacity(slow_start, own.slow_start_until if own else None, now)
+        return self.slow_start.has_capacity(
+            slow_start, listed.slow_start_until if listed else None, now
+        )
 
     def refusal_reason(self) -> messages.Reason | None:
         """Return why the upstream accepts no new flows, or None if it does."""
-        own = self.listed_upstream
-        if self.leaving or (own is not None and own.leaving):
+        listed = self.listed_upstream
+        if self.leaving or (listed is not None and listed.leaving):
             return messages.Reason.LEAVING
-        if own is not None and own.service != self.service:
+        if listed is not None and listed.service != self.service:
             return messages.Reason.OTHER_SERVICE
         # A balancer that is cut off from the store may not know that the zone is drained.
         if self.zone in self.fleet.drained:
@@ -237,9 +239,9 @@
         """Drop expired state, and return the announcements and log entries that are due."""
         self.fleet.expire(now)
         self.table.expire(self.route_table.routes.idle_timeout_ms, now)
-        old = now - self.route_table.routes.idle_timeout_ms
-        self.absent = {f: at for f, at in self.absent.items() if at > old}
-        self.pending_probes = {f: s for f, s in self.pending_probes.items() if s.sent_at > old}
+        oldest = now - self.route_table.routes.idle_timeout_ms
+        self.absent = {f: at for f, at in self.absent.items() if at > oldest}
+        self.pending_probes = {f: s for f, s in self.pending_probes.items() if s.sent_at > oldest}
         return [*self.log_completeness(now), *self.announce(now)]
 
     def log_completeness(self, now: int) -> list[effects.Effect]:
@@ -248,13 +250,13 @@
         if incomplete == self.had_unseen_flows:
             return []
         self.had_unseen_flows = incomplete
-        own = self.listed_upstream
+        listed = self.listed_upstream
         return [
             effects.trace(
                 "certainty",
                 knows_all_flows=not incomplete,
                 saw_start=self.saw_start,
-                upstream=own.name if own else "",
+                upstream=listed.name if listed else "",
                 since_start_ms=now - self.started_at,
             )
         ]
@@ -324,16 +326,16 @@
         if sent.returned:
             return self.on_returned(sent, now)
         record = self.table.flows.get(sent.flow)
-        found: list[effects.Effect] = []
+        answers: list[effects.Effect] = []
         if record is None:
             probe = self.pending_probes.pop(sent.flow, None)
             source = probe.source if probe else self.address
             record = self.table.add(sent.flow, source, now)
             record.is_held = not sent.accepts
             if probe is not None:
-                found.append(effects.Send(source, self.make_answer(sent.flow, 0, now)))
+                answers.append(effects.Send(source, self.make_answer(sent.flow, 0, now)))
         self.table.on_upstream_packet(record, sent, now)
-        return [effects.ToCaller(sent), *found]
+        return [effects.ToCaller(sent), *answers]
 
     def on_returned(self, sent: packet.Packet, now: int) -> list[effects.Effect]:
         """Handle a packet that the upstream did not take."""
@@ -385,9 +387,9 @@
 
 @handle_message.register
 def _(message: messages.Ask, sidecar, received, source, now):
-    answered = sidecar.make_answer(message.flow, message.acknowledged, now)
+    answer = sidecar.make_answer(message.flow, message.acknowledged, now)
     return [
-        effects.Send(source, answered),
+        effects.Send(source, answer),
         *effects.make_reread(message.version, sidecar.route_table.routes.version),
     ]
 
@@ -397,9 +399,9 @@
     statuses = tuple(sidecar.flow_status(flow, at, now) for flow, at in message.questions)
     version = sidecar.route_table.routes.version
     load = sidecar.load(now)
-    answered = messages.AnswerMany(message.number, version, statuses, load, sidecar.revision)
+    answer = messages.AnswerMany(message.number, version, statuses, load, sidecar.revision)
     return [
-        effects.Send(source, answered),
+        effects.Send(source, answer),
         *effects.make_reread(message.version, sidecar.route_table.routes.version),
     ]
 
@@ -435,9 +437,9 @@
     """
     if message.service != sidecar.service_key:
         return messages.Reason.OTHER_SERVICE
-    known = sidecar.route_table.routes
-    if known.version >= message.version > 0:
-        route = known.find(received.flow)
+    current_routes = sidecar.route_table.routes
+    if current_routes.version >= message.version > 0:
+        route = current_routes.find(received.flow)
         if route is None or sidecar.service not in route.services:
             return messages.Reason.NO_ROUTE
         if not sidecar.fleet.is_in_regions(sidecar.zone, route.regions):
@@ -470,7 +472,7 @@
 
 @handle_message.register
 def _(message: messages.Announce, sidecar, received, source, now):
-    if not message.listed:
+    if not message.is_listed:
         announcing.record_unlisted(sidecar.fleet, source, now + announcing.SEED_TTL_MS)
     return []
 
--- a/src/ebonystile/core/carrying/sourcing.py
+++ b/src/ebonystile/core/carrying/sourcing.py
@@ -44,14 +44,14 @@
 class Sources:
     """The sources that one process may read from.
 
-    `own` is this process's address. `relays` are the watchers of all zones, best first, computed
-    from the fleet's `index`. `announced` are relays that announced themselves, and `seeds` the
-    addresses from the settings; both are used until the process has a view. `is_watcher` is set if
-    this process watches the store, `announces_relay` if it also announces itself as a relay, as the
-    first few of each zone do. `excluded_until` is when a failed source may be used again, in ms.
+    `own_address` is this process's address. `relays` are the watchers of all zones, best first,
+    computed from the fleet's `index`. `announced` are relays that announced themselves, and `seeds`
+    the addresses from the settings; both are used until the process has a view. `is_watcher` is set
+    if this process watches the store, `announces_relay` if it also announces itself as a relay, as
+    the first few of each zone do. `excluded_until` is until when a failed source is skipped, in ms.
     """
 
-    own: view.Address
+    own_address: view.Address
     zone: str
     seeds: tuple[view.Address, ...] = ()
     relays: tuple[view.Address, ...] = ()
@@ -81,10 +81,10 @@
         }
         near = watching.get(self.zone, [])
         far = [addresses[0] for zone, addresses in sorted(watching.items()) if zone != self.zone]
-        self.is_watcher = self.own in near
-        self.announces_relay = self.own in near[:MIN_WATCHERS]
+        self.is_watcher = self.own_address in near
+        self.announces_relay = self.own_address in near[:MIN_WATCHERS]
         near = sorted(near, key=self.relay_rank)
-        self.relays = tuple(address for address in (*near, *far) if address != self.own)
+        self.relays = tuple(address for address in (*near, *far) if address != self.own_address)
 
     def add_announced(self, address: view.Address) -> None:
         """Add a relay that has announced itself."""
@@ -93,9 +93,9 @@
 
     def relay_rank(self, relay: view.Address) -> int:
         """Return the rank of a relay for this process; readers spread evenly over the relays."""
-        return xxhash.xxh3_64_intdigest(f"{self.own}{relay}".encode())
+        return xxhash.xxh3_64_intdigest(f"{self.own_address}{relay}".encode())
 
-    def ranked(self, complete: bool) -> list[Source]:
+    def ranked_sources(self, complete: bool) -> list[Source]:
         """Return all sources, best first; `complete` tells whether the process has a full view.
 
         At startup the store comes first: its data is current, and no relay is known yet.
@@ -108,7 +108,7 @@
 
     def choose(self, complete: bool, now: int) -> Source:
         """Return the best source that has not failed recently, else the one that failed first."""
-        ranked = self.ranked(complete)
+        ranked = self.ranked_sources(complete)
         available = [source for source in ranked if self.excluded_until.get(source, 0) <= now]
         if available:
             return available[0]
@@ -116,7 +116,7 @@
 
     def has_alternative(self, complete: bool, now: int) -> bool:
         """Return whether there is a source that has not failed recently."""
-        return any(self.excluded_until.get(s, 0) <= now for s in self.ranked(complete))
+        return any(self.excluded_until.get(s, 0) <= now for s in self.ranked_sources(complete))
 
     def on_failed(self, source: Source, now: int) -> None:
         """Skip a source for a while after a failed call."""
--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -146,7 +146,7 @@
 
 @pack.register
 def _(message: messages.Announce):
-    return ANNOUNCE.pack(ANNOUNCE_TYPE, LISTED * message.listed | RELAYS * message.relays)
+    return ANNOUNCE.pack(ANNOUNCE_TYPE, LISTED * message.is_listed | RELAYS * message.is_relay)
 
 
 @pack.register
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -253,7 +253,7 @@
 
 def test_a_sidecar_that_others_may_read_from_offers_itself_once_a_second():
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
-    announcer.relays = True
+    announcer.is_relay = True
     sent = [now for now in range(0, 5_000, 200) if announcer.due_announcements(True, now)]
     assert sent == [0, 1_000, 2_000, 3_000, 4_000]
 
--- a/tests/carrying/test_reading.py
+++ b/tests/carrying/test_reading.py
@@ -101,7 +101,7 @@
     assert pauses[0] <= 150 and max(pauses) <= 1_500
     assert reader.next_call(now).kind is reading.Kind.WATCH
     reader.on_watched(9, False, now)
-    assert reader.is_current and reader.returned_at == now
+    assert reader.is_current and reader.recovered_at == now
 
 
 def test_a_store_without_the_history_is_read_anew():
--- a/tests/carrying/test_sourcing.py
+++ b/tests/carrying/test_sourcing.py
@@ -26,9 +26,9 @@
     known = make_fleet()
     everyone = [sources_of(known, u.address, u.zone) for u in known.upstreams.values()]
     assert sum(s.is_watcher for s in everyone) == 3 * sourcing.MIN_WATCHERS
-    watching = {s.own for s in everyone if s.is_watcher}
+    watching = {s.own_address for s in everyone if s.is_watcher}
     for reader in everyone:
-        assert set(reader.relays) <= watching and reader.own not in reader.relays
+        assert set(reader.relays) <= watching and reader.own_address not in reader.relays
         if not reader.is_watcher:
             assert reader.choose(True, 0) in watching
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -408,7 +408,7 @@
     Mutation(
         "last door: route dropped",
         CORE + "carrying/sidecar.py",
-        "if known.version >= message.version > 0:",
+        "if current_routes.version >= message.version > 0:",
         "if False:",
     ),
     Mutation(
@@ -571,7 +571,7 @@
     Mutation(
         "an upstream through with its start is no new one",
         CORE + "carrying/sidecar.py",
-        "if now >= own.slow_start_until:",
+        "if now >= listed.slow_start_until:",
         "if False:",
     ),
     Mutation(
