--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -1,4 +1,4 @@
-"""Loads and endpoints for the tests of placement, with only what a case is about spelled out."""
+"""Loads and endpoints for the tests of placement, with defaults for what a case does not set."""
 
 from ebonystile.core import view
 from ebonystile.core.placing import load
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Check where opens go: over clear gaps only, never to those that leave, are full or unknown."""
+"""Check where opens are passed: only to clearly less loaded siblings, never to unavailable ones."""
 
 import random
 
@@ -28,20 +28,27 @@
     ("own", "sibling", "passed"),
     [
         pytest.param({}, {}, False, id="equal"),
-        pytest.param({"running": 2}, {}, True, id="clear gap"),
-        pytest.param({"running": 1, "slots": 4}, {"slots": 4}, False, id="gap not clear"),
+        pytest.param({"running": 2}, {}, True, id="sufficient gap"),
+        pytest.param({"running": 1, "slots": 4}, {"slots": 4}, False, id="gap too small"),
         pytest.param({"running": 4, "slots": 4}, {"running": 2}, False, id="weights from slots"),
-        pytest.param({"flows": 100}, {"flows": 80}, True, id="fewer flows, work alike"),
-        pytest.param({"flows": 100}, {"flows": 95}, False, id="flows alike"),
+        pytest.param({"flows": 100}, {"flows": 80}, True, id="fewer flows, equal work"),
+        pytest.param({"flows": 100}, {"flows": 95}, False, id="about as many flows"),
         pytest.param({"flows": 100}, {"flows": 80, "running": 1}, False, id="work before flows"),
         pytest.param({"running": 2}, {"ramp": 250}, False, id="cold sibling"),
         pytest.param({"running": 9}, {"leaving": True}, False, id="leaving sibling"),
         pytest.param({"running": 9}, {"suspected": True}, True, id="panic: all are suspected"),
         pytest.param({"running": 9}, {"connections": 5, "flows": 5}, False, id="full sibling"),
-        pytest.param({"leaving": True}, {"running": 9}, True, id="leaving, no gap needed"),
-        pytest.param({"connections": 5, "flows": 5}, {"running": 9}, True, id="full, no gap"),
+        pytest.param(
+            {"leaving": True}, {"running": 9}, True, id="own upstream leaving, no gap needed"
+        ),
+        pytest.param(
+            {"connections": 5, "flows": 5},
+            {"running": 9},
+            True,
+            id="own upstream full, no gap needed",
+        ),
         pytest.param({"suspected": True}, {"running": 1}, True, id="own upstream suspected"),
-        pytest.param({"ramp": 250}, {}, False, id="cold and idle: one request to get warm"),
+        pytest.param({"ramp": 250}, {}, False, id="cold and idle: one request to warm up"),
         pytest.param({"ramp": 250, "running": 1}, {"running": 1}, True, id="cold and busy"),
     ],
 )
@@ -50,7 +57,7 @@
     assert (choose(given.load_of(**own), loads) is not None) == passed
 
 
-def test_suspected_sibling_is_left_out_while_others_are_not():
+def test_suspected_sibling_is_excluded_unless_in_panic_mode():
     loads = [given.load_of("u0", suspected=True), given.load_of("u1"), given.load_of("u2")]
     chosen = {
         choose(
@@ -62,16 +69,13 @@
 
 
 def test_leaving_without_any_report_passes_to_an_upstream_of_the_view():
-    """A sidecar starts and its upstream leaves before a sibling has reported.
-
-    Callers would be refused although capacity is there; the view's next upstream gets the open.
-    """
+    """Opens must not be refused because no sibling has reported yet."""
     assert choose(given.load_of(leaving=True), []) in {"u0", "u1", "u2"}
     loads = [given.load_of(f"u{i}", leaving=True) for i in range(3)]
     assert choose(given.load_of(leaving=True), loads) is None
 
 
-def test_zone_decides_between_equals_only():
+def test_zone_is_a_tie_breaker_only():
     own = given.load_of(running=4)
     near = given.load_of("u0", running=1)
     far = given.load_of("u1", running=1, zone="far")
@@ -80,7 +84,7 @@
 
 
 @pytest.mark.parametrize("policy", POLICIES, ids=lambda p: type(p).__name__)
-def test_every_policy_keeps_what_binds_all(policy):
+def test_no_policy_passes_to_an_unavailable_sibling(policy):
     own = given.load_of(running=6)
     loads = [
         given.load_of("u0", leaving=True),
@@ -92,8 +96,8 @@
     assert choose(own, [], policy=policy) is None
 
 
-def herd(count_sends):
-    """Return the most opens that the one idle of 7 gets from its siblings on one stale table."""
+def count_opens_to_idle(count_sends):
+    """Return how many opens the one idle upstream of 7 gets on the basis of one set of reports."""
     randomness = random.Random(1)
     service = given.endpoints(7)
     loads = [given.load_of(e.name, running=0 if e.name == "u0" else 4) for e in service]
@@ -111,23 +115,17 @@
     return sent
 
 
-def test_stale_table_does_not_herd():
-    """One of seven upstreams is idle, all tables say so, and no further report comes.
+def test_stale_reports_cause_no_herding():
+    """The siblings of an idle upstream must not send it all opens between two reports.
 
-    Without own sends counted, each of 200 opens that sees the idle one among its candidates goes
-    there and waits in its queue. With them each sibling stops when its own sends have closed the
-    gap: at most 3 each (4 running + 1 against 0 + 1, two slots, a gap of half a request a slot).
+    Each stops when its own sends have closed the gap.
     """
-    assert herd(count_sends=False) > 40
-    assert 6 <= herd(count_sends=True) <= 6 * 4
+    assert count_opens_to_idle(count_sends=False) > 40
+    assert 6 <= count_opens_to_idle(count_sends=True) <= 6 * 4
 
 
-def test_old_report_of_an_idle_sibling_weighs_less():
-    """All report at once that they are idle or busy; a second later only the order is left of it.
-
-    With requests of 100 ms nothing of the picture holds any more, and to pass everything to whoever
-    was idle then would be a herd.
-    """
+def test_old_report_of_an_idle_sibling_is_discounted():
+    """Reports much older than a request must not cause herding on the upstreams idle back then."""
     loads = [given.load_of("u0"), given.load_of("u1", running=4), given.load_of("u2", running=4)]
     own = given.load_of(running=2, latency=100)
     policy = placement.PowerOfTwo(candidates=3)
@@ -135,7 +133,7 @@
     assert choose(own, loads, policy=policy, now=1000) is None
 
 
-def test_unknown_policy_is_an_error():
+def test_unknown_policy_raises_an_error():
     choice = placement.Choice(b"", load.make_candidate(given.load_of()), "z", [], [])
     with pytest.raises(TypeError):
         placement.decide(object(), choice, random.Random(1))
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Check that every way to rank gives the same first choice, and that few flows move."""
+"""Check that all ranking functions agree, and that few flows move when an upstream leaves."""
 
 import random
 
@@ -18,14 +18,14 @@
         assert ranking.first_accepting(flow, SERVICE) == best
 
 
-def test_nobody_accepting():
+def test_no_accepting_upstream():
     assert ranking.first_accepting(FLOWS[0], view.make_service("x", "", MEMBERS[2:3])) is None
     assert ranking.first(FLOWS[0], []) is None
 
 
-def test_only_the_flows_of_a_leaver_move_and_each_to_its_second_choice():
-    leaver, *rest = SERVICE.accepting
+def test_only_flows_of_the_leaving_upstream_move_and_each_to_its_second_choice():
+    leaving, *rest = SERVICE.accepting
     for flow in FLOWS:
         before = ranking.rank(flow, SERVICE.accepting)
         after = ranking.rank(flow, rest)
-        assert after == [u for u in before if u != leaver]
+        assert after == [u for u in before if u != leaving]
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""Check how the cores together spread opens over the sidecars of a service, and refuse."""
+"""Check how the cores distribute opens over the sidecars of a service, and refuse them."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def busy(wire, *homes):
-    """Let upstreams claim that all their slots are taken."""
+    """Let upstreams report that all their slots are taken."""
     for home in homes:
         wire.post(home, events.UpstreamLoad(home.core.limits.slots))
     wire.run(2 * SECOND)
@@ -37,11 +37,8 @@
     return held
 
 
-def test_opens_pass_a_busy_upstream_by():
-    """One of three upstreams is busy. A third of all callers is ranked there first.
-
-    Its sidecar passes their opens to the others, so that nobody waits behind the busy one's queue.
-    """
+def test_opens_are_passed_on_from_a_busy_upstream():
+    """Callers must not wait in the queue of a busy upstream while others are idle."""
     wire = wires.make_service(slots=8)
     home = next(iter(wire.homes.values()))
     busy(wire, home)
@@ -50,12 +47,8 @@
 
 
 @pytest.mark.parametrize(("passes", "expected"), [(0, 0), (1, 1), (3, 3), (8, 4)])
-def test_open_is_passed_a_few_times_and_never_back(passes, expected):
-    """Every sidecar of five believes that all others are idle. An open must not go to and fro.
-
-    It is passed on as often as the settings say, never back to one that has passed it on, and
-    then kept.
-    """
+def test_open_is_passed_a_limited_number_of_times_and_never_back(passes, expected):
+    """An open must not loop between sidecars whose reports say that all others are idle."""
     wire = wires.make_service(count=5, slots=8)
     busy(wire, *wire.homes.values())
     wire.judge = lambda source, target, kind: [] if kind == "LoadReport" else [1]
@@ -73,10 +66,7 @@
 
 
 def test_leaving_upstream_gets_no_new_flow_from_stale_balancers():
-    """An upstream leaves; the balancers and its siblings do not learn of it from any view.
-
-    Its sidecar passes every open on, and its siblings stop passing to it with its next report.
-    """
+    """A leaving upstream must get no flows although the view still shows it as accepting."""
     wire = wires.make_service(slots=8)
     leaver = next(iter(wire.homes.values()))
     wire.post(leaver, events.Leave("test"))
@@ -99,10 +89,9 @@
 
 
 def test_upstream_that_fails_fast_does_not_attract_work():
-    """An upstream fails every request at once, so it always looks idle.
+    """An upstream that fails every request at once looks idle, so load alone would prefer it.
 
-    By load alone all new flows would go there and fail. After three failures its sidecar suspects
-    it and passes opens on; good checks of its health end that, and it comes back by a ramp.
+    It is suspected after three failures, and returns with a ramp after successful health checks.
     """
     wire = wires.make_service()
     bad = next(iter(wire.homes.values()))
@@ -121,10 +110,7 @@
 
 
 def test_all_upstreams_suspected_still_serve():
-    """A shared dependency fails, and every upstream is suspected: a panic.
-
-    To refuse all would turn a fault that passes into an outage; opens still find a home.
-    """
+    """A passing failure of a shared dependency must not become an outage: opens find a home."""
     wire = wires.make_service()
     for home in wire.homes.values():
         for _ in range(3):
@@ -136,10 +122,10 @@
 
 
 def test_request_that_would_be_late_is_refused_at_once_and_never_runs():
-    """An upstream of one slot takes 200 ms a request; ten requests must be done in 500 ms.
+    """Requests that cannot finish by their deadline must not wait in the queue until then.
 
-    Two can be. The others hear at once that they were not run and when to come back, each at a
-    time of its own, and copies that come later do not run.
+    With one slot, 200 ms per request and 500 ms for all ten, two can finish. The others are refused
+    at once, with different times to retry, and later copies of them do not run.
     """
     wire = wires.make_service(count=1, slots=1)
     wire.run_ms = 200
@@ -160,18 +146,18 @@
     assert wire.all_runs[first] == 1
 
 
-def test_silent_sibling_is_shown_as_suspected():
+def test_unresponsive_sibling_is_shown_as_suspected():
     wire = wires.make_service()
     wire.run(2 * SECOND)
-    watcher, silent, _ = wire.homes.values()
-    assert siblings.suspected(watcher.core, wire.now) == ()
-    wire.kill(silent)
+    observer, unresponsive, _ = wire.homes.values()
+    assert siblings.suspected(observer.core, wire.now) == ()
+    wire.kill(unresponsive)
     wire.run(5 * SECOND)
-    assert siblings.suspected(watcher.core, wire.now) == (silent.name,)
+    assert siblings.suspected(observer.core, wire.now) == (unresponsive.name,)
 
 
 def test_load_reports_are_few():
-    """Three idle sidecars tell each other their load about once a second."""
+    """Three idle sidecars report their load to each other about once a second."""
     wire = wires.make_service()
     reports = []
     wire.judge = lambda source, target, kind: (kind == "LoadReport" and reports.append(1)) or [1]
@@ -181,10 +167,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_balancer_refuses_opens_beyond_what_it_carries_fairly(seed):
-    """One caller address asks for ten times what a balancer carries, another for little.
-
-    Each refusal tells when to come back; the modest caller hardly notices.
-    """
+    """A caller that opens too many flows must not take the capacity of a modest one."""
     wire = wires.make_service(count=1, balancers=1, seed=seed)
     part = next(iter(wire.balancers.values()))
     part.gate = fairness.Gate(fairness.Bounds(opens_per_second=100))
@@ -208,11 +191,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_night_leaves_the_flows_even(seed):
-    """Upstreams are replaced one after another, each newcomer empty while the others hold flows.
+def test_replacing_all_upstreams_leaves_the_flows_balanced(seed):
+    """Rolling replacement must not leave early replacements with several times the flows of others.
 
-    Handed to the next of its ranking, a flow would go to the newcomers only by chance, and those
-    that came early in the night would end it with several times the flows of the last one.
+    That would happen if a flow were handed to the next upstream of its ranking whatever its load.
     """
     wire = wires.make_service(7, seed=seed, slots=8)
     callers = open_flows(wire, 42)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Check that those who fail are left alone, carefully tried, and never all at once."""
+"""Check that failing peers are taken out of use, probed, and returned gradually."""
 
 import pytest
 
@@ -18,14 +18,14 @@
 
 def test_three_failures_in_a_row_suspect_and_a_success_between_does_not():
     tracker = suspicion.Suspicion(RULES)
-    for good in (False, False, True, False, False):
-        (tracker.record_success if good else tracker.record_failure)("a", 0)
+    for success in (False, False, True, False, False):
+        (tracker.record_success if success else tracker.record_failure)("a", 0)
     assert not tracker.is_suspected("a")
     assert tracker.record_failure("a", 0)
     assert tracker.is_suspected("a")
 
 
-def test_half_of_the_results_bad_suspect():
+def test_failure_share_of_one_half_suspects():
     tracker = suspicion.Suspicion(RULES)
     for i in range(20):
         (tracker.record_success if i % 2 else tracker.record_failure)("a", 0)
@@ -39,15 +39,11 @@
     [(0, 0, False), (0, 3, False), (1, 3, False), (1, 2, False), (2, 3, True), (3, 3, True)],
 )
 def test_panic_threshold(suspected, known, panic):
-    """Two of three upstreams are suspected: the last one cannot carry the load of all.
-
-    Leaving both out would bring the last one down. All three are used again (what placement makes
-    of it: `test_placement` and `test_spreading`).
-    """
+    """If most upstreams are suspected, the rest cannot carry the load, so all are used."""
     assert suspicion.is_panic(suspected, known) == panic
 
 
-def test_probes_are_bounded_and_come_after_the_hold():
+def test_probes_are_bounded_and_start_after_the_hold_time():
     tracker = suspect("a", "b", "c")
     assert tracker.due_probes(1999) == []
     assert tracker.due_probes(2000) == ["a", "b"]
@@ -63,26 +59,23 @@
     assert tracker.due_probes(5000) == ["a"]
 
 
-def returned(tracker, name, now):
+def end_suspicion(tracker, name, now):
     for _ in range(RULES.successes_to_return):
         assert tracker.due_probes(now) == [name]
         tracker.record_probe(name, True, now)
 
 
-def test_two_good_probes_end_it_and_start_a_ramp():
+def test_two_successful_probes_end_a_suspicion_and_start_a_ramp():
     tracker = suspect("a")
-    returned(tracker, "a", 2000)
+    end_suspicion(tracker, "a", 2000)
     assert not tracker.is_suspected("a")
     assert tracker.ramp_share("a", 2000, 10_000) == 250
     assert tracker.ramp_share("a", 12_000, 10_000) == messages.FULL_RAMP
     assert tracker.ramp_share("never", 0, 10_000) == messages.FULL_RAMP
 
 
-def test_flapping_peer_is_left_alone_for_longer_each_time():
-    """An upstream comes back after each probe and fails again at once.
-
-    Each return would cost callers some failures. The time that it is left alone doubles.
-    """
+def test_hold_time_of_a_flapping_peer_doubles():
+    """Each return of a peer that fails again at once costs callers some failures."""
     tracker = suspicion.Suspicion(RULES)
     now, holds = 0, []
     for _ in range(4):
@@ -90,20 +83,20 @@
         until = tracker.peers["a"].suspected_until
         holds.append(until - now)
         now = until
-        returned(tracker, "a", now)
+        end_suspicion(tracker, "a", now)
     assert holds == [2000, 4000, 8000, 16_000]
 
 
-def test_calm_forgives():
+def test_record_is_removed_after_a_time_without_failures():
     tracker = suspect("a")
-    returned(tracker, "a", 2000)
+    end_suspicion(tracker, "a", 2000)
     tracker.record_success("a", 100_000)
     assert "a" in tracker.peers
     tracker.record_success("a", 2000 + 2 * RULES.forgive_after_ms + 1)
     assert tracker.peers == {}
 
 
-def test_state_is_bounded():
+def test_records_are_bounded():
     tracker = suspicion.Suspicion(RULES)
     for i in range(suspicion.MAX_PEERS + 10):
         tracker.record_failure(f"p{i}", 0)
