--- a/src/ebonystile/core/carrying/asking.py
+++ b/src/ebonystile/core/carrying/asking.py
@@ -3,50 +3,52 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import balancer_state, effects, flow_search, messages, packet
 
-FINDING_SINGLY = 16
+MAX_SINGLE_SEARCHES = 16
 """Number of running searches for open flows from which further ones are batched."""
 
-PATIENCE_MS = 1_000
+MAX_BATCH_WAIT_MS = 1_000
 """Time limit of a search that waits for the fan-out budget, in ms from its start."""
 
 
-def ask_everybody(
-    known: balancer_state.BalancerState, found: flow_search.Search, now: int
+def ask_all(
+    state: balancer_state.BalancerState, search: flow_search.Search, now: int
 ) -> list[effects.Effect]:
     """Add the search to the batch of queries, or end it if it has waited too long."""
-    if now >= found.started_at + PATIENCE_MS:
-        return give_up(known, found)
-    if found.flow not in known.ask_batch.waiting:
-        known.ask_batch.add(found, now)
-        known.schedule(found, found.started_at + PATIENCE_MS)
+    if now >= search.started_at + MAX_BATCH_WAIT_MS:
+        return abandon_search(state, search)
+    if search.flow not in state.ask_batch.waiting:
+        state.ask_batch.add(search, now)
+        state.schedule(search, search.started_at + MAX_BATCH_WAIT_MS)
     return []
 
 
-def give_up(known: balancer_state.BalancerState, found: flow_search.Search) -> list[effects.Effect]:
+def abandon_search(
+    state: balancer_state.BalancerState, search: flow_search.Search
+) -> list[effects.Effect]:
     """End a search that waited too long for the budget; its caller retransmits."""
-    known.ask_batch.waiting.pop(found.flow, None)
-    known.probe_batch.waiting.pop(found.flow, None)
-    return known.end_search(found)
+    state.ask_batch.waiting.pop(search.flow, None)
+    state.probe_batch.waiting.pop(search.flow, None)
+    return state.end_search(search)
 
 
-def ask_batch(known: balancer_state.BalancerState, now: int) -> list[effects.Effect]:
+def send_ask_batch(state: balancer_state.BalancerState, now: int) -> list[effects.Effect]:
     """Send the next batch of queries, in one message to each sidecar."""
-    wanted = min(len(known.fleet.by_address), flow_search.LATER_WAVE)
-    if not known.fan_out_budget.take(wanted, now):
-        known.ask_batch.due = max(now + 1, known.fan_out_budget.ready_at(wanted, now))
+    message_count = min(len(state.fleet.by_address), flow_search.LATER_ROUND_SIZE)
+    if not state.fan_out_budget.take(message_count, now):
+        state.ask_batch.due = max(now + 1, state.fan_out_budget.ready_at(message_count, now))
         return []
     questions: dict[view.Address, list[tuple[packet.Flow, int]]] = {}
-    for found in known.ask_batch.take(known.searches, now):
-        acknowledged = found.packets[0].acknowledged
-        for upstream in found.next_wave(now):
-            questions.setdefault(upstream.address, []).append((found.flow, acknowledged))
-        known.schedule(found, found.due)
-    version = known.route_table.routes.version
+    for search in state.ask_batch.take(state.searches, now):
+        acknowledged = search.packets[0].acknowledged
+        for upstream in search.next_round(now):
+            questions.setdefault(upstream.address, []).append((search.flow, acknowledged))
+        state.schedule(search, search.due)
+    version = state.route_table.routes.version
     return [
         effects.Send(
             address,
             messages.AskMany(
-                known.ask_batch.register_flows(tuple(flow for flow, _ in asked), now),
+                state.ask_batch.register_flows(tuple(flow for flow, _ in asked), now),
                 version,
                 tuple(asked),
             ),
@@ -55,12 +57,12 @@
     ]
 
 
-def wait_for_room(
-    known: balancer_state.BalancerState, found: flow_search.Search, messages_wanted: int, now: int
+def wait_for_fan_out_budget(
+    state: balancer_state.BalancerState, search: flow_search.Search, message_count: int, now: int
 ) -> list[effects.Effect]:
     """Schedule the search for when the budget allows the messages, or end it if too late."""
-    due = max(now + 1, known.fan_out_budget.ready_at(messages_wanted, now))
-    if due > found.started_at + PATIENCE_MS:
-        return known.end_search(found)
-    known.schedule(found, due)
+    due = max(now + 1, state.fan_out_budget.ready_at(message_count, now))
+    if due > search.started_at + MAX_BATCH_WAIT_MS:
+        return state.end_search(search)
+    state.schedule(search, due)
     return []
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -1,7 +1,7 @@
 """Handle the packets and messages that a balancer of carried flows receives.
 
 A packet of a flow whose home is known is forwarded to it. Any other packet starts a search, which
-`opening` or `finding` decides.
+`is_opening` or `finding` decides.
 """
 
 import functools
@@ -28,14 +28,14 @@
 MAX_SEARCHES = 1_000
 """Limit of concurrent searches; further packets are dropped, and callers retransmit them."""
 
-MAX_FINDING = 128
+MAX_OPEN_FLOW_SEARCHES = 128
 """Limit of concurrent searches for open flows. After an outage all open flows are searched for at
 the same time; the limit leaves capacity for new flows."""
 
-PROBE_MS = 200
+SIDECAR_ROTATION_MS = 200
 """How long an unreachable balancer queries one sidecar before it tries the next, in ms."""
 
-SWEEP_MS = 1_000
+EXPIRY_INTERVAL_MS = 1_000
 """Interval at which idle flows expire, in ms: the sweep visits all flows, which is too much for
 every tick."""
 
@@ -48,21 +48,21 @@
 
     def on_caller(self, received: packet.Packet, now: int) -> list[effects.Effect]:
         """Forward a caller's packet to the home of its flow, or begin a search for it."""
-        found = self.searches.get(received.flow)
-        if found is not None:
-            found.hold(received)
+        search = self.searches.get(received.flow)
+        if search is not None:
+            search.add_packet(received)
             return []
         home = self.homes.get(received.flow)
         if home is None or received.opens:
-            return self.begin(received, home, now)
+            return self.begin_search(received, home, now)
         if self.route_table.routes.find(received.flow) is None:
-            return self.without_route(received)
+            return self.refuse_without_route(received)
         if not self.fleet.is_listed(home.upstream) and now >= home.verified_until:
-            return self.begin(received, home, now)
+            return self.begin_search(received, home, now)
         home.seen_at = now
         return [effects.Send(home.upstream.address, messages.Carry(received.raw))]
 
-    def without_route(self, received: packet.Packet) -> list[effects.Effect]:
+    def refuse_without_route(self, received: packet.Packet) -> list[effects.Effect]:
         """Reset a flow without a route, or drop the packet while the configuration may be stale."""
         self.homes.pop(received.flow, None)
         if received.aborts or not self.is_view_current or not self.route_table.routes.version:
@@ -77,66 +77,70 @@
             effects.Reset(received.flow, received.acknowledged),
         ]
 
-    def begin(
+    def begin_search(
         self, received: packet.Packet, home: balancer_state.Home | None, now: int
     ) -> list[effects.Effect]:
         """Begin a search for the upstream of a flow."""
         route = self.route_table.routes.find(received.flow)
         if route is None:
-            return self.without_route(received)
+            return self.refuse_without_route(received)
         if len(self.searches) >= MAX_SEARCHES:
             return []
         if received.opens:
-            begun = opening.search_for(self, received, route.service_of(received.flow), now)
-        elif self.open_flow_searches < MAX_FINDING:
-            begun = finding.search_for(self, received, now)
+            search = opening.make_placement_search(
+                self, received, route.service_of(received.flow), now
+            )
+        elif self.open_flow_searches < MAX_OPEN_FLOW_SEARCHES:
+            search = finding.make_location_search(self, received, now)
         else:
-            finding.queue(self, received, now)
+            finding.queue_packet(self, received, now)
             return []
         if home is not None:
-            begun.previous = home
-            begun.waves[:1] = [flow_search.with_first(home.upstream, (begun.waves or [[]])[0])]
-        if not begun.goes_on and (received.opens or self.is_view_confirmed(now)):
-            return self.nobody(received)
-        if not begun.goes_on:
+            search.previous_home = home
+            search.rounds[:1] = [
+                flow_search.prepend_upstream(home.upstream, (search.rounds or [[]])[0])
+            ]
+        if not search.has_next_round and (received.opens or self.is_view_confirmed(now)):
+            return self.refuse_without_upstream(received)
+        if not search.has_next_round:
             # After an outage of the store its list can be empty while all upstreams are running.
             self.not_found_since.setdefault(received.flow, now)
             self.add_pending(received)
             return []
-        self.searches[received.flow] = begun
-        self.open_flow_searches += not begun.opening
+        self.searches[received.flow] = search
+        self.open_flow_searches += not search.is_opening
         return (
-            self.ask_next_round(begun, now)
-            if begun.waves
-            else asking.ask_everybody(self, begun, now)
+            self.ask_next_round(search, now) if search.rounds else asking.ask_all(self, search, now)
         )
 
-    def begin_queued(self, now: int) -> list[effects.Effect]:
+    def begin_queued_searches(self, now: int) -> list[effects.Effect]:
         """Begin searches for queued flows up to the limit, the oldest first."""
         todo: list[effects.Effect] = []
-        while self.queued and self.open_flow_searches < MAX_FINDING:
+        while self.queued and self.open_flow_searches < MAX_OPEN_FLOW_SEARCHES:
             flow = next(iter(self.queued))
             received, until = self.queued.pop(flow)
             if now < until and flow not in self.searches and flow not in self.homes:
-                todo.extend(self.begin(received, None, now))
+                todo.extend(self.begin_search(received, None, now))
         return todo
 
-    def begin_pending(self, now: int) -> list[effects.Effect]:
+    def retry_pending(self, now: int) -> list[effects.Effect]:
         """Search again for the flows that were not found before the view was confirmed.
 
         Waiting for the callers' next copies would take many of them past their timeouts.
         """
         todo: list[effects.Effect] = []
         while (
-            self.pending and self.open_flow_searches < MAX_FINDING and self.is_view_confirmed(now)
+            self.pending
+            and self.open_flow_searches < MAX_OPEN_FLOW_SEARCHES
+            and self.is_view_confirmed(now)
         ):
             flow = next(iter(self.pending))
             received = self.pending.pop(flow)
             if flow not in self.searches and flow not in self.homes:
-                todo.extend(finding.look_again(self, [received], now, now))
+                todo.extend(finding.retry_search(self, [received], now, now))
         return todo
 
-    def nobody(self, received: packet.Packet) -> list[effects.Effect]:
+    def refuse_without_upstream(self, received: packet.Packet) -> list[effects.Effect]:
         """Reset a flow without any upstream, or drop the packet while the view may be stale."""
         if not self.is_view_current or received.aborts:
             return []
@@ -156,31 +160,31 @@
         self.unanswered_since = None
         self.unresponsive_until.pop(source, None)
         self.unresponsive_since.pop(source, None)
-        todo = act(message, self, received, source, now)
+        todo = handle_message(message, self, received, source, now)
         if self.queued:
-            todo.extend(self.begin_queued(now))
+            todo.extend(self.begin_queued_searches(now))
         if self.pending:
-            todo.extend(self.begin_pending(now))
+            todo.extend(self.retry_pending(now))
         return todo
 
     def on_due(self, now: int) -> list[effects.Effect]:
         """Advance all searches and send all batches that are due."""
         todo = self.ask_unlisted(now)
         if self.pending:
-            todo.extend(self.begin_pending(now))
+            todo.extend(self.retry_pending(now))
         if self.ask_batch.due is not None and self.ask_batch.due <= now:
-            todo.extend(asking.ask_batch(self, now))
+            todo.extend(asking.send_ask_batch(self, now))
         if self.probe_batch.due is not None and self.probe_batch.due <= now:
             todo.extend(probing.send_probes(self, now))
         due = self.next_search_due()
         while due is not None and due <= now:
             _, flow = heapq.heappop(self.due_heap)
-            found = self.searches[flow]
-            todo.extend(self.go_on(found, now))
-            if self.searches.get(flow) is found and found.due <= now:
-                self.schedule(found, now + 1)
+            search = self.searches[flow]
+            todo.extend(self.advance_search(search, now))
+            if self.searches.get(flow) is search and search.due <= now:
+                self.schedule(search, now + 1)
             due = self.next_search_due()
-        return [*todo, *self.begin_queued(now)]
+        return [*todo, *self.begin_queued_searches(now)]
 
     def ask_unlisted(self, now: int) -> list[effects.Effect]:
         """Return the queries for sidecars without an entry, if they are due."""
@@ -198,78 +202,78 @@
             a: at for a, at in self.unresponsive_since.items() if a in self.unresponsive_until
         }
         if now >= self.next_expiry_at:
-            self.sweep(now)
-        known = list(self.fleet.by_address)
-        if not self.is_cut_off(now) or not known:
+            self.expire_flows(now)
+        addresses = list(self.fleet.by_address)
+        if not self.is_cut_off(now) or not addresses:
             return []
         question = messages.Ask(NO_FLOW, self.route_table.routes.version)
-        return [effects.Send(known[now // PROBE_MS % len(known)], question)]
+        return [effects.Send(addresses[now // SIDECAR_ROTATION_MS % len(addresses)], question)]
 
-    def sweep(self, now: int) -> None:
+    def expire_flows(self, now: int) -> None:
         """Drop the flows that have been idle for too long."""
-        self.next_expiry_at = now + SWEEP_MS
+        self.next_expiry_at = now + EXPIRY_INTERVAL_MS
         idle = self.route_table.routes.idle_timeout_ms
         if len(self.homes) > MAX_HOMES:
             idle = idle // 4
         self.homes = {f: h for f, h in self.homes.items() if now - h.seen_at < idle}
         self.not_found_since = {f: at for f, at in self.not_found_since.items() if now - at < idle}
 
-    def go_on(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
+    def advance_search(self, search: flow_search.Search, now: int) -> list[effects.Effect]:
         """Decide by the answers so far, ask further sidecars, or end the search."""
-        decide = opening.decide if found.opening else finding.decide
-        decided = decide(self, found, now)
+        decide = opening.decide_placement if search.is_opening else finding.decide_location
+        decided = decide(self, search, now)
         if decided is not None:
             return decided
-        if not found.wave_over(now):
+        if not search.is_round_over(now):
             return []
-        self.note_silent(found, now)
-        if found.goes_on and found.opening:
-            return self.ask_next_round(found, now)
-        if found.goes_on:
-            return asking.ask_everybody(self, found, now)
-        until = self.answer_deadline(found)
-        if now < until and not found.exhausted():
-            self.schedule(found, until)
+        self.exclude_unresponsive(search, now)
+        if search.has_next_round and search.is_opening:
+            return self.ask_next_round(search, now)
+        if search.has_next_round:
+            return asking.ask_all(self, search, now)
+        until = self.answer_deadline(search)
+        if now < until and not search.is_exhausted():
+            self.schedule(search, until)
             return []
-        return self.end_of_search(found, now)
+        return self.end_failed_search(search, now)
 
-    def note_silent(self, found: flow_search.Search, now: int) -> None:
-        """Record the sidecars that did not answer in time as silent for `SILENCE_MS`."""
-        for upstream in found.unanswered():
-            self.unresponsive_until[upstream.address] = now + flow_search.SILENCE_MS
+    def exclude_unresponsive(self, search: flow_search.Search, now: int) -> None:
+        """Exclude sidecars that did not answer in time from new flows for `UNRESPONSIVE_MS`."""
+        for upstream in search.unanswered():
+            self.unresponsive_until[upstream.address] = now + flow_search.UNRESPONSIVE_MS
             self.unresponsive_since.setdefault(upstream.address, now)
 
-    def end_of_search(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
+    def end_failed_search(self, search: flow_search.Search, now: int) -> list[effects.Effect]:
         """End a failed search: reset the flow if it has certainly ended, else drop its packets.
 
         A search for an open flow is repeated if the result is uncertain although all sidecars
         with an entry answered.
         """
-        self.end_search(found)
-        last = found.packets[-1]
-        missing = self.unanswered_listed(found)
-        not_found = not missing and not found.unknown()
-        if found.opening:
-            over = not_found and self.is_view_current
+        self.end_search(search)
+        last = search.packets[-1]
+        missing = self.unanswered_listed(search)
+        not_found = not missing and not search.uncertain_upstreams()
+        if search.is_opening:
+            has_ended = not_found and self.is_view_current
         elif not self.is_view_confirmed(now):
-            over = False
+            has_ended = False
             if not_found:
-                self.not_found_since.setdefault(found.flow, now)
+                self.not_found_since.setdefault(search.flow, now)
             self.add_pending(last)
         else:
-            over = not_found and finding.confirmed(self, found, now)
-            if not (over or missing or last.aborts) and found.looks < finding.MOST_LOOKS:
-                due = now + finding.CONFIRM_MS
-                return finding.look_again(self, found.packets, now, due, found.looks + 1)
-        traced = found.trace_end(now, reset=over)
-        if not over or last.aborts:
+            has_ended = not_found and finding.is_confirmed_gone(self, search, now)
+            if not (has_ended or missing or last.aborts) and search.attempt < finding.MAX_ATTEMPTS:
+                due = now + finding.RETRY_SEARCH_MS
+                return finding.retry_search(self, search.packets, now, due, search.attempt + 1)
+        traced = search.trace_end(now, reset=has_ended)
+        if not has_ended or last.aborts:
             return [traced]
-        self.homes.pop(found.flow, None)
-        return [traced, effects.Reset(found.flow, last.acknowledged)]
+        self.homes.pop(search.flow, None)
+        return [traced, effects.Reset(search.flow, last.acknowledged)]
 
 
 @functools.singledispatch
-def act(
+def handle_message(
     message: typing.Any,
     balancer: Balancer,
     received: packet.Packet | None,
@@ -280,30 +284,30 @@
     return [effects.trace("message_refused", message=type(message).__name__)]
 
 
-@act.register
+@handle_message.register
 def _(message: messages.Answer, balancer, received, source, now):
     todo = effects.make_reread(message.version, balancer.route_table.routes.version)
-    found = balancer.searches.get(message.flow)
-    if found is None:
+    search = balancer.searches.get(message.flow)
+    if search is None:
         return todo
-    upstream = found.asked.get(source) or balancer.fleet.by_address.get(source)
-    if source in found.probed and message.flow_status is messages.FlowStatus.ABSENT:
-        found.exclude(source)
-    elif upstream is None or not found.answer(upstream, message):
+    upstream = search.asked.get(source) or balancer.fleet.by_address.get(source)
+    if source in search.probed and message.flow_status is messages.FlowStatus.ABSENT:
+        search.exclude(source)
+    elif upstream is None or not search.record_answer(upstream, message):
         return todo
-    if found.decisive(message) or found.settled():
-        todo.extend(balancer.go_on(found, now))
+    if search.is_decisive(message) or search.is_settled():
+        todo.extend(balancer.advance_search(search, now))
     return todo
 
 
-@act.register
+@handle_message.register
 def _(message: messages.Announce, balancer, received, source, now):
     if not message.is_listed:
         announcing.record_unlisted(balancer.fleet, source, now + announcing.SEED_TTL_MS)
     return [effects.ReadFrom(source)] if message.is_relay else []
 
 
-@act.register
+@handle_message.register
 def _(message: messages.AskUnlisted, balancer, received, source, now):
     return [
         effects.Send(
@@ -312,7 +316,7 @@
     ]
 
 
-@act.register
+@handle_message.register
 def _(message: messages.AnswerUnlisted, balancer, received, source, now):
     for address in message.sidecars:
         announcing.record_unlisted(balancer.fleet, address, now + announcing.ASKER_TTL_MS)
@@ -321,7 +325,7 @@
     return []
 
 
-@act.register
+@handle_message.register
 def _(message: messages.AnswerMany, balancer, received, source, now):
     todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     answers = {
@@ -330,34 +334,34 @@
     }
     flows = balancer.ask_batch.flows_of(message.number)
     for flow, holding in zip(flows, message.flow_statuses, strict=False):
-        found = balancer.searches.get(flow)
-        if found is None or source not in found.asked:
+        search = balancer.searches.get(flow)
+        if search is None or source not in search.asked:
             continue
-        found.answer(found.asked[source], answers[holding])
-        if found.decisive(answers[holding]) or found.settled():
-            todo.extend(balancer.go_on(found, now))
+        search.record_answer(search.asked[source], answers[holding])
+        if search.is_decisive(answers[holding]) or search.is_settled():
+            todo.extend(balancer.advance_search(search, now))
     return todo
 
 
-@act.register
+@handle_message.register
 def _(message: messages.Return, balancer, received, source, now):
     todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     home = balancer.homes.get(received.flow)
     if home is not None and home.upstream.address == source:
         del balancer.homes[received.flow]
-    found = balancer.searches.get(received.flow)
-    if found is not None:
-        found.exclude(source)
-        found.hold(received)
-        if found.exhausted():
-            todo.extend(balancer.go_on(found, now))
+    search = balancer.searches.get(received.flow)
+    if search is not None:
+        search.exclude(source)
+        search.add_packet(received)
+        if search.is_exhausted():
+            todo.extend(balancer.advance_search(search, now))
         return todo
     if message.reason is messages.Reason.NO_ROUTE:
         return todo
-    todo.extend(balancer.begin(received, None, now))
-    begun = balancer.searches.get(received.flow)
-    if begun is not None:
-        begun.exclude(source)
-        if begun.exhausted():
-            todo.extend(balancer.go_on(begun, now))
+    todo.extend(balancer.begin_search(received, None, now))
+    new_search = balancer.searches.get(received.flow)
+    if new_search is not None:
+        new_search.exclude(source)
+        if new_search.is_exhausted():
+            todo.extend(balancer.advance_search(new_search, now))
     return todo
--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -1,8 +1,8 @@
 """Hold the state of one balancer's carried flows and the operations shared by its modules.
 
-The other modules, such as `opening` and `open_flow_searches`, read and change this state; callers
-use `balancer.Balancer`. The state is soft: `homes` caches the sidecars' answers, and a packet of a
-flow that is not in the cache starts a search.
+The other modules, such as `is_opening` and `open_flow_searches`, read and change this state;
+callers use `balancer.Balancer`. The state is soft: `homes` caches the sidecars' answers, and a
+packet of a flow that is not in the cache starts a search.
 """
 
 import collections
@@ -22,8 +22,8 @@
 )
 
 FAN_OUT_MESSAGES_PER_S, FAN_OUT_BURST = 1_000, 300
-"""Rate and burst, in messages, of the second and later waves of searches, which go to all sidecars.
-Without the limit, searches for open flows after an outage would delay new flows."""
+"""Rate and burst, in messages, of the second and later rounds of searches, which go to all
+sidecars. Without the limit, searches for open flows after an outage would delay new flows."""
 
 UNREACHABLE_TIMEOUT_MS = 800
 """Time in ms without a message from any sidecar, counted from the first unanswered query, after
@@ -105,16 +105,16 @@
         """Return the time in ms at which the next search is due, or None."""
         while self.due_heap:
             due, flow = self.due_heap[0]
-            found = self.searches.get(flow)
-            if found is not None and found.due == due:
+            search = self.searches.get(flow)
+            if search is not None and search.due == due:
                 return due
             heapq.heappop(self.due_heap)
         return None
 
-    def schedule(self, found: flow_search.Search, due: int) -> None:
+    def schedule(self, search: flow_search.Search, due: int) -> None:
         """Schedule the search's next step at the time `due` in ms."""
-        found.due = due
-        heapq.heappush(self.due_heap, (due, found.flow))
+        search.due = due
+        heapq.heappush(self.due_heap, (due, search.flow))
 
     def is_view_confirmed(self, now: int) -> bool:
         """Return whether the view is current and complete.
@@ -156,24 +156,24 @@
         """Return how many flows were placed on each upstream at or after a time in ms."""
         return collections.Counter(address for at, address in self.placements if at >= asked_at)
 
-    def answer_deadline(self, found: flow_search.Search) -> int:
+    def answer_deadline(self, search: flow_search.Search) -> int:
         """Return the time in ms until which a search waits for outstanding answers."""
-        if any(self.fleet.is_listed(upstream) for upstream in found.awaited()):
-            return found.give_up_at
-        return min(found.give_up_at, found.asked_at + flow_search.UNLISTED_MS)
+        if any(self.fleet.is_listed(upstream) for upstream in search.pending_upstreams()):
+            return search.deadline
+        return min(search.deadline, search.asked_at + flow_search.UNLISTED_TIMEOUT_MS)
 
-    def unanswered_listed(self, found: flow_search.Search) -> list[fleet.Upstream]:
+    def unanswered_listed(self, search: flow_search.Search) -> list[fleet.Upstream]:
         """Return the upstreams with an entry whose sidecars have not answered.
 
         Those without an entry are left out: most of them have ended, and a search doesn't wait for
         them.
         """
-        return [upstream for upstream in found.unanswered() if self.fleet.is_listed(upstream)]
+        return [upstream for upstream in search.unanswered() if self.fleet.is_listed(upstream)]
 
-    def end_search(self, found: flow_search.Search) -> list[effects.Effect]:
+    def end_search(self, search: flow_search.Search) -> list[effects.Effect]:
         """End a search; the caller's next packet may begin another one."""
-        del self.searches[found.flow]
-        self.open_flow_searches -= not found.opening
+        del self.searches[search.flow]
+        self.open_flow_searches -= not search.is_opening
         return []
 
     def remember_home(self, flow: packet.Flow, upstream: fleet.Upstream, now: int) -> Home:
@@ -183,13 +183,13 @@
         self.pending.pop(flow, None)
         return home
 
-    def ask_next_round(self, found: flow_search.Search, now: int) -> list[effects.Effect]:
-        """Return the queries to the search's next wave of sidecars."""
-        wave = found.next_wave(now)
-        self.schedule(found, found.due)
+    def ask_next_round(self, search: flow_search.Search, now: int) -> list[effects.Effect]:
+        """Return the queries to the search's next round of sidecars."""
+        upstreams = search.next_round(now)
+        self.schedule(search, search.due)
         if self.unanswered_since is None:
             self.unanswered_since = now
         version = self.route_table.routes.version
-        acknowledged = 0 if found.opening else found.packets[0].acknowledged
-        question = messages.Ask(found.flow, version, acknowledged)
-        return [effects.Send(u.address, question) for u in wave]
+        acknowledged = 0 if search.is_opening else search.packets[0].acknowledged
+        question = messages.Ask(search.flow, version, acknowledged)
+        return [effects.Send(u.address, question) for u in upstreams]
--- a/src/ebonystile/core/carrying/batches.py
+++ b/src/ebonystile/core/carrying/batches.py
@@ -11,13 +11,13 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import fleet, flow_search, packet
 
-GATHER_MS = 20
+BATCH_DELAY_MS = 20
 """How long a search waits for others to join its batch, in ms."""
 
-MOST_TOGETHER = 64
+MAX_BATCH_FLOWS = 64
 """Limit of flows in one batch; a query takes 16 bytes per flow in one datagram."""
 
-REMEMBER_MS = 1_000
+QUERY_MEMORY_MS = 1_000
 """How long the flows of a batch are kept to match its answers, in ms."""
 
 
@@ -25,43 +25,47 @@
 class AskBatch:
     """The searches that wait to query all sidecars.
 
-    `due` is the time of the next batch in ms, or None. `asked` holds the time and the flows of each
-    query sent, by the number that its answer repeats.
+    `due` is the time of the next batch in ms, or None. `asked_flows` holds the time and the flows
+    of each query sent, by the number that its answer repeats.
     """
 
     waiting: dict[packet.Flow, flow_search.Search] = dataclasses.field(default_factory=dict)
     due: int | None = None
-    number: int = 0
-    asked: dict[int, tuple[int, tuple[packet.Flow, ...]]] = dataclasses.field(default_factory=dict)
+    last_number: int = 0
+    asked_flows: dict[int, tuple[int, tuple[packet.Flow, ...]]] = dataclasses.field(
+        default_factory=dict
+    )
 
-    def add(self, found: flow_search.Search, now: int) -> None:
+    def add(self, search: flow_search.Search, now: int) -> None:
         """Add a search to the next batch."""
-        self.waiting[found.flow] = found
+        self.waiting[search.flow] = search
         if self.due is None:
-            self.due = now + GATHER_MS
+            self.due = now + BATCH_DELAY_MS
 
     def take(
         self, searches: dict[packet.Flow, flow_search.Search], now: int
     ) -> list[flow_search.Search]:
         """Remove the next batch and return its searches that are still running."""
-        flows = list(self.waiting)[:MOST_TOGETHER]
+        flows = list(self.waiting)[:MAX_BATCH_FLOWS]
         taken = [self.waiting.pop(flow) for flow in flows]
-        self.due = now + GATHER_MS if self.waiting else None
-        return [found for found in taken if searches.get(found.flow) is found]
+        self.due = now + BATCH_DELAY_MS if self.waiting else None
+        return [search for search in taken if searches.get(search.flow) is search]
 
     def register_flows(self, flows: tuple[packet.Flow, ...], now: int) -> int:
         """Record a query about these flows and return its number."""
-        self.asked = {n: kept for n, kept in self.asked.items() if now - kept[0] < REMEMBER_MS}
-        self.number = (self.number + 1) % (1 << 32)
-        self.asked[self.number] = (now, flows)
-        return self.number
+        self.asked_flows = {
+            n: kept for n, kept in self.asked_flows.items() if now - kept[0] < QUERY_MEMORY_MS
+        }
+        self.last_number = (self.last_number + 1) % (1 << 32)
+        self.asked_flows[self.last_number] = (now, flows)
+        return self.last_number
 
     def flows_of(self, number: int) -> tuple[packet.Flow, ...]:
         """Return the flows of a query, or none if it has expired."""
-        return self.asked[number][1] if number in self.asked else ()
+        return self.asked_flows[number][1] if number in self.asked_flows else ()
 
 
-MOST_PROBE_BYTES = 1_200
+MAX_PROBE_BYTES = 1_200
 """Limit of packet bytes in one datagram of probes; a longer packet gets its own datagram."""
 
 
@@ -78,11 +82,11 @@
     )
     due: int | None = None
 
-    def add(self, found: flow_search.Search, upstreams: list[fleet.Upstream], now: int) -> None:
+    def add(self, search: flow_search.Search, upstreams: list[fleet.Upstream], now: int) -> None:
         """Add a search to the next batch."""
-        self.waiting[found.flow] = (found, upstreams)
+        self.waiting[search.flow] = (search, upstreams)
         if self.due is None:
-            self.due = now + GATHER_MS
+            self.due = now + BATCH_DELAY_MS
 
     def next_flows(self) -> tuple[list[packet.Flow], int]:
         """Return the flows of the next batch and the number of messages it takes.
@@ -92,35 +96,37 @@
         """
         flows: list[packet.Flow] = []
         addresses: set[view.Address] = set()
-        size = wanted = 0
-        for flow, (found, upstreams) in self.waiting.items():
-            all_addresses = addresses.union(u.address for u in upstreams)
-            whole_size = size + len(found.packets[0].raw) * len(upstreams)
-            messages_then = max(len(all_addresses), math.ceil(whole_size / MOST_PROBE_BYTES))
-            full = len(flows) >= MOST_TOGETHER or messages_then > flow_search.LATER_WAVE
-            if flows and full:
+        size = message_count = 0
+        for flow, (search, upstreams) in self.waiting.items():
+            new_addresses = addresses.union(u.address for u in upstreams)
+            new_size = size + len(search.packets[0].raw) * len(upstreams)
+            new_message_count = max(len(new_addresses), math.ceil(new_size / MAX_PROBE_BYTES))
+            is_full = (
+                len(flows) >= MAX_BATCH_FLOWS or new_message_count > flow_search.LATER_ROUND_SIZE
+            )
+            if flows and is_full:
                 break
             flows.append(flow)
-            addresses, size, wanted = all_addresses, whole_size, messages_then
-        return flows, wanted
+            addresses, size, message_count = new_addresses, new_size, new_message_count
+        return flows, message_count
 
     def take(
         self, flows: list[packet.Flow], searches: dict[packet.Flow, flow_search.Search], now: int
     ) -> list[tuple[flow_search.Search, list[fleet.Upstream]]]:
         """Remove these flows; return the searches still running, with the upstreams to probe."""
         taken = [self.waiting.pop(flow) for flow in flows]
-        self.due = now + GATHER_MS if self.waiting else None
-        return [(found, to) for found, to in taken if searches.get(found.flow) is found]
+        self.due = now + BATCH_DELAY_MS if self.waiting else None
+        return [(search, to) for search, to in taken if searches.get(search.flow) is search]
 
 
-def datagrams(raws: typing.Iterable[bytes]) -> list[tuple[bytes, ...]]:
+def group_into_datagrams(raws: typing.Iterable[bytes]) -> list[tuple[bytes, ...]]:
     """Return the packets in groups, each of which fits into one datagram."""
     groups: list[list[bytes]] = []
-    room = 0
+    bytes_left = 0
     for raw in raws:
-        if not groups or len(raw) > room:
+        if not groups or len(raw) > bytes_left:
             groups.append([])
-            room = MOST_PROBE_BYTES
+            bytes_left = MAX_PROBE_BYTES
         groups[-1].append(raw)
-        room -= len(raw)
+        bytes_left -= len(raw)
     return [tuple(group) for group in groups]
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -1,6 +1,6 @@
 """Find the upstream that holds an open flow unknown to this balancer.
 
-After an outage all open flows are searched for at the same time. Queries beyond the first wave are
+After an outage all open flows are searched for at the same time. Queries beyond the first round are
 therefore batched over many flows and rate limited.
 """
 
@@ -18,15 +18,15 @@
     probing,
 )
 
-QUEUE_MS, MAX_QUEUED = 400, 1_000
+MAX_QUEUED_MS, MAX_QUEUED_PACKETS = 400, 1_000
 """Time limit and length of the queue of open flows that wait for a search to begin; callers
 retransmit 200, 600 and 1,400 ms after the first copy."""
 
-CHECK_MS = 1_000
+VERIFIED_MS = 1_000
 """How long an answer confirms the home of a flow whose upstream has no entry, in ms. An upstream
 cut off from the store loses its entry and still serves its flows."""
 
-CONFIRM_MS = 60
+RETRY_SEARCH_MS = 60
 """Time between two consecutive searches for a flow, in ms.
 
 The flow may be held by an upstream that started a moment ago and is not in this balancer's view.
@@ -34,117 +34,131 @@
 balancer's.
 """
 
-GONE_AFTER_MS = 200
+GONE_TIMEOUT_MS = 200
 """Time without an answer after which a sidecar without an entry is not asked, in ms. It allows for
 two queries: a sidecar that only stalled answers the second."""
 
-MOST_LOOKS = 4
+MAX_ATTEMPTS = 4
 """Limit of consecutive searches for a flow while every sidecar with an entry answers. By the last
 of them this balancer has caught up with the store and skips silent sidecars without an entry.
 Waiting for the caller's next copy instead takes up to 1.6 s more."""
 
 
-def search_for(
-    known: balancer_state.BalancerState, received: packet.Packet, now: int
+def make_location_search(
+    state: balancer_state.BalancerState, received: packet.Packet, now: int
 ) -> flow_search.Search:
     """Return a search for an open flow, in the services of its route first, then in all others."""
     flow = received.flow
-    names = known.route_table.services_of(flow)
+    services = state.route_table.services_of(flow)
     likely = [
-        u for name in names for u in placing.order(flow, known.fleet.upstreams_of(name), known.zone)
+        u
+        for name in services
+        for u in placing.rank_upstreams(flow, state.fleet.upstreams_of(name), state.zone)
     ]
-    begun = flow_search.Search(flow, "", [received], [], started_at=now, due=now)
+    search = flow_search.Search(flow, "", [received], [], started_at=now, due=now)
     first = (
-        likely[: flow_search.FIRST_WAVE] if known.open_flow_searches < asking.FINDING_SINGLY else []
+        likely[: flow_search.FIRST_ROUND_SIZE]
+        if state.open_flow_searches < asking.MAX_SINGLE_SEARCHES
+        else []
     )
     if first:
-        begun.waves = [first]
-    others = [u for u in known.fleet.by_address.values() if u.service not in names]
-    others += without_entry(known, now)
+        search.rounds = [first]
+    others = [u for u in state.fleet.by_address.values() if u.service not in services]
+    others += unlisted_upstreams(state, now)
     if others or len(likely) > len(first):
-        begun.later = functools.partial(flow_search.later_waves, likely[len(first) :], others)
-    return begun
+        search.make_later_rounds = functools.partial(
+            flow_search.split_into_rounds, likely[len(first) :], others
+        )
+    return search
 
 
-def without_entry(known: balancer_state.BalancerState, now: int) -> list[fleet.Upstream]:
+def unlisted_upstreams(state: balancer_state.BalancerState, now: int) -> list[fleet.Upstream]:
     """Return the upstreams without an entry whose sidecars may answer.
 
     An upstream cut off from the store still serves its flows, which must not be reset. Most of the
-    others have ended; those that have not answered for `GONE_AFTER_MS` are skipped, so that callers
-    of lost flows don't wait for them.
+    others have ended; those that have not answered for `GONE_TIMEOUT_MS` are skipped, so that
+    callers of lost flows don't wait for them.
     """
-    since = known.unresponsive_since
-    alive = known.fleet.unlisted()
-    return [u for u in alive if now - since.get(u.address, now) < GONE_AFTER_MS]
+    since = state.unresponsive_since
+    unlisted = state.fleet.unlisted()
+    return [u for u in unlisted if now - since.get(u.address, now) < GONE_TIMEOUT_MS]
 
 
-def queue(known: balancer_state.BalancerState, received: packet.Packet, now: int) -> None:
+def queue_packet(state: balancer_state.BalancerState, received: packet.Packet, now: int) -> None:
     """Queue a packet of an open flow until a search for it may begin."""
-    if len(known.queued) < MAX_QUEUED:
-        known.queued.setdefault(received.flow, (received, now + QUEUE_MS))
+    if len(state.queued) < MAX_QUEUED_PACKETS:
+        state.queued.setdefault(received.flow, (received, now + MAX_QUEUED_MS))
 
 
-def decide(
-    known: balancer_state.BalancerState, found: flow_search.Search, now: int
+def decide_location(
+    state: balancer_state.BalancerState, search: flow_search.Search, now: int
 ) -> list[effects.Effect] | None:
     """Return the effects by which the answers end or advance the search, or None to wait."""
-    kept = found.keeper()
+    kept = search.holder()
     if kept is not None:
-        known.end_search(found)
-        home = known.remember_home(found.flow, kept, now)
-        home.verified_until = now + CHECK_MS
+        state.end_search(search)
+        home = state.remember_home(search.flow, kept, now)
+        home.verified_until = now + VERIFIED_MS
         return [
             effects.trace(
                 "found",
-                flow=packet.flow_text(found.flow),
+                flow=packet.flow_text(search.flow),
                 upstream=kept.name,
-                asked=len(found.asked),
-                searched_ms=now - found.started_at,
+                asked=len(search.asked),
+                searched_ms=now - search.started_at,
             ),
-            *[effects.Send(kept.address, messages.Carry(p.raw)) for p in found.packets],
+            *[effects.Send(kept.address, messages.Carry(p.raw)) for p in search.packets],
         ]
-    if not found.wave_over(now):
+    if not search.is_round_over(now):
         return None
-    unknown = found.unknown()
-    if not unknown or (found.goes_on and 2 * len(unknown) < len(found.answers)):
+    unknown = search.uncertain_upstreams()
+    if not unknown or (search.has_next_round and 2 * len(unknown) < len(search.answers)):
         return None
-    if not found.goes_on and known.unanswered_listed(found) and now < known.answer_deadline(found):
+    if (
+        not search.has_next_round
+        and state.unanswered_listed(search)
+        and now < state.answer_deadline(search)
+    ):
         return None
-    return probing.probe(known, found, unknown, now)
+    return probing.probe_upstreams(state, search, unknown, now)
 
 
-def confirmed(known: balancer_state.BalancerState, found: flow_search.Search, now: int) -> bool:
+def is_confirmed_gone(
+    state: balancer_state.BalancerState, search: flow_search.Search, now: int
+) -> bool:
     """Return whether a flow that was not found has ended.
 
     One search is enough if every sidecar has answered, or if the upstream of the former home has no
-    entry. Otherwise a second search `CONFIRM_MS` later must also fail: an upstream that holds
+    entry. Otherwise a second search `RETRY_SEARCH_MS` later must also fail: an upstream that holds
     the flow and left the first probe unanswered acknowledges the second.
     """
-    if found.previous is not None and not known.fleet.is_listed(found.previous.upstream):
+    if search.previous_home is not None and not state.fleet.is_listed(
+        search.previous_home.upstream
+    ):
         return True
-    if found.revision > known.revision:
+    if search.revision > state.revision:
         return False
-    if found.settled():
+    if search.is_settled():
         return True
-    first = known.not_found_since.setdefault(found.flow, now)
-    return now - first >= CONFIRM_MS
+    first = state.not_found_since.setdefault(search.flow, now)
+    return now - first >= RETRY_SEARCH_MS
 
 
-def look_again(
-    known: balancer_state.BalancerState,
+def retry_search(
+    state: balancer_state.BalancerState,
     packets: list[packet.Packet],
     now: int,
     due: int,
-    looks: int = 2,
+    attempt: int = 2,
 ) -> list[effects.Effect]:
-    """Schedule a search of all sidecars at the time `due` in ms; `looks` is its number."""
-    again = search_for(known, packets[0], now)
+    """Schedule a search of all sidecars at the time `due` in ms; `attempt` is its number."""
+    again = make_location_search(state, packets[0], now)
     again.packets = packets
-    again.waves = []
-    everybody = [*known.fleet.by_address.values(), *without_entry(known, now)]
-    again.later = functools.partial(flow_search.later_waves, everybody, ())
-    again.looks = looks
-    known.searches[again.flow] = again
-    known.open_flow_searches += 1
-    known.schedule(again, due)
+    again.rounds = []
+    all_upstreams = [*state.fleet.by_address.values(), *unlisted_upstreams(state, now)]
+    again.make_later_rounds = functools.partial(flow_search.split_into_rounds, all_upstreams, ())
+    again.attempt = attempt
+    state.searches[again.flow] = again
+    state.open_flow_searches += 1
+    state.schedule(again, due)
     return []
--- a/src/ebonystile/core/carrying/flow_search.py
+++ b/src/ebonystile/core/carrying/flow_search.py
@@ -6,40 +6,40 @@
 from ebonystile.core import view
 from ebonystile.core.carrying import effects, fleet, messages, packet
 
-WAVE_MS = 20
-"""Time allowed for the answers to a wave of queries before the next one is sent, in ms. A round
+ROUND_MS = 20
+"""Time allowed for the answers to a round of queries before the next one is sent, in ms. A round
 trip between availability zones takes 2 ms; the rest is for slow instances."""
 
-GIVE_UP_MS = 350
-"""Time limit of a search after its last wave, in ms. An instance that exceeds its CPU quota stalls
+SEARCH_TIMEOUT_MS = 350
+"""Time limit of a search after its last round, in ms. An instance that exceeds its CPU quota stalls
 for up to 100 ms; a caller retransmits 200 and 400 ms after the last copy."""
 
-UNLISTED_MS = 120
+UNLISTED_TIMEOUT_MS = 120
 """Time limit in ms of a search that waits only for sidecars without an entry. Most of those have
 ended; an instance that exceeds its CPU quota stalls for up to 100 ms."""
 
-PROBE_MS = 400
+PROBE_TIMEOUT_MS = 400
 """Time allowed for the answer to a probe, in ms."""
 
-SILENCE_MS = 1_000
+UNRESPONSIVE_MS = 1_000
 """How long a sidecar that did not answer is not asked to take new flows, in ms."""
 
-PROBED_BLIND = 2
+MAX_BLIND_PROBES = 2
 """Upstreams probed for one flow while an asked sidecar has not answered."""
 
-PROBED_EARLY = 22
+MAX_EARLY_PROBES = 22
 """Upstreams probed for one flow before the view is confirmed: more than are asked to take a new
 flow."""
 
-MAX_PACKETS = 16
+MAX_HELD_PACKETS = 16
 """Packets held during a search: a sender has no more in flight."""
 
-FIRST_WAVE = 11
-"""Sidecars in the first wave for an open flow, in the order used for a new flow: eight of the own
+FIRST_ROUND_SIZE = 11
+"""Sidecars in the first round for an open flow, in the order used for a new flow: eight of the own
 zone and three of others. A service has about 5 upstreams at the target size."""
 
-LATER_WAVE = 256
-"""Sidecars in each later wave: within the burst of the budget `fan_out_budget`."""
+LATER_ROUND_SIZE = 256
+"""Sidecars in each later round: within the burst of the budget `fan_out_budget`."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -47,61 +47,61 @@
     """The state of one search; times in ms.
 
     `service` is that of a flow to be opened, empty for one that is already open. `due` is the time
-    of the next step, `give_up_at` that of the end, `asked_at` that of the last wave or probe.
-    `later` computes the waves that follow `waves`, when they are needed. `probed` holds the
-    addresses that were sent a probe, `excluded` those that returned a packet. `revision` is the
-    newest revision of the store in the answers. `looks` counts the consecutive searches for an open
-    flow, including this one. `held` is set while a new flow waits because all upstreams are
-    overloaded.
+    of the next step, `deadline` that of the end, `asked_at` that of the last round or probe.
+    `make_later_rounds` computes the rounds that follow `rounds`, when they are needed. `probed`
+    holds the addresses that were sent a probe, `excluded` those that returned a packet. `revision`
+    is the newest revision of the store in the answers. `attempt` counts the consecutive searches
+    for an open flow, including this one. `is_deferred` is set while a new flow waits because all
+    upstreams are overloaded.
     """
 
     flow: packet.Flow
     service: str
     packets: list[packet.Packet]
-    waves: list[list[fleet.Upstream]]
+    rounds: list[list[fleet.Upstream]]
     started_at: int
     due: int
-    later: typing.Callable[[], list[list[fleet.Upstream]]] | None = None
-    previous: typing.Any = None
-    give_up_at: int = 0
+    make_later_rounds: typing.Callable[[], list[list[fleet.Upstream]]] | None = None
+    previous_home: typing.Any = None
+    deadline: int = 0
     asked_at: int = 0
     asked: dict[view.Address, fleet.Upstream] = dataclasses.field(default_factory=dict)
     answers: dict[view.Address, tuple[fleet.Upstream, messages.Answer]] = dataclasses.field(
         default_factory=dict
     )
-    looks: int = 1
-    held: bool = False
+    attempt: int = 1
+    is_deferred: bool = False
     revision: int = 0
     excluded: set[view.Address] = dataclasses.field(default_factory=set)
     probed: set[view.Address] = dataclasses.field(default_factory=set)
 
     @property
-    def opening(self) -> bool:
+    def is_opening(self) -> bool:
         """Return whether the search is for a new flow."""
         return bool(self.service)
 
-    def hold(self, received: packet.Packet) -> None:
+    def add_packet(self, received: packet.Packet) -> None:
         """Store a further packet of the flow until the search ends."""
-        if len(self.packets) < MAX_PACKETS:
+        if len(self.packets) < MAX_HELD_PACKETS:
             self.packets.append(received)
 
     @property
-    def goes_on(self) -> bool:
-        """Return whether there is a wave left to ask."""
-        return bool(self.waves) or self.later is not None
-
-    def next_wave(self, now: int) -> list[fleet.Upstream]:
-        """Start the next wave and return its upstreams."""
-        if not self.waves and self.later is not None:
-            self.waves, self.later = self.later(), None
-        wave = [u for u in self.waves.pop(0) if u.address not in self.asked]
-        self.asked.update((u.address, u) for u in wave)
+    def has_next_round(self) -> bool:
+        """Return whether there is a round left to ask."""
+        return bool(self.rounds) or self.make_later_rounds is not None
+
+    def next_round(self, now: int) -> list[fleet.Upstream]:
+        """Start the next round and return its upstreams."""
+        if not self.rounds and self.make_later_rounds is not None:
+            self.rounds, self.make_later_rounds = self.make_later_rounds(), None
+        upstreams = [u for u in self.rounds.pop(0) if u.address not in self.asked]
+        self.asked.update((u.address, u) for u in upstreams)
         self.asked_at = now
-        self.due = now + WAVE_MS
-        self.give_up_at = max(self.give_up_at, now + GIVE_UP_MS)
-        return wave
+        self.due = now + ROUND_MS
+        self.deadline = max(self.deadline, now + SEARCH_TIMEOUT_MS)
+        return upstreams
 
-    def answer(self, upstream: fleet.Upstream, answer: messages.Answer) -> bool:
+    def record_answer(self, upstream: fleet.Upstream, answer: messages.Answer) -> bool:
         """Record an answer; return False if none was expected from that sidecar."""
         if upstream.address not in self.asked and not self.probed:
             return False
@@ -109,7 +109,7 @@
         self.revision = max(self.revision, answer.revision)
         return True
 
-    def decisive(self, answer: messages.Answer) -> bool:
+    def is_decisive(self, answer: messages.Answer) -> bool:
         """Return whether the answer names its upstream as the flow's home."""
         return answer.flow_status >= messages.FlowStatus.OFFERED
 
@@ -119,28 +119,28 @@
         self.asked.pop(address, None)
         self.answers.pop(address, None)
 
-    def keeper(self) -> fleet.Upstream | None:
+    def holder(self) -> fleet.Upstream | None:
         """Return the upstream that holds the flow or has accepted it, or None."""
         kept = [
             (answer.flow_status, upstream)
             for upstream, answer in self.answers.values()
-            if self.decisive(answer) and upstream.address not in self.excluded
+            if self.is_decisive(answer) and upstream.address not in self.excluded
         ]
         return max(kept, key=lambda pair: pair[0])[1] if kept else None
 
-    def in_order(self) -> list[tuple[fleet.Upstream, messages.Answer]]:
+    def ordered_answers(self) -> list[tuple[fleet.Upstream, messages.Answer]]:
         """Return the answers in the order of the queries, which differs from flow to flow."""
         return [self.answers[address] for address in self.asked if address in self.answers]
 
-    def unknown(self) -> list[fleet.Upstream]:
+    def uncertain_upstreams(self) -> list[fleet.Upstream]:
         """Return the upstreams whose sidecars can't tell whether they hold the flow."""
         return [
             u
-            for u, a in self.in_order()
+            for u, a in self.ordered_answers()
             if a.flow_status is messages.FlowStatus.UNKNOWN and u.address not in self.probed
         ]
 
-    def open_probes(self) -> bool:
+    def has_open_probes(self) -> bool:
         """Return whether a probed upstream has not returned the packet yet."""
         return bool(self.probed) and not self.probed <= self.excluded
 
@@ -148,27 +148,27 @@
         """Return the upstreams whose sidecars were asked and have not answered."""
         return [u for address, u in self.asked.items() if address not in self.answers]
 
-    def awaited(self) -> list[fleet.Upstream]:
+    def pending_upstreams(self) -> list[fleet.Upstream]:
         """Return the upstreams with an unanswered query or probe."""
         probed = [self.asked[a] for a in self.probed - self.excluded if a in self.asked]
         return [*self.unanswered(), *probed]
 
-    def all_answered(self) -> bool:
+    def has_all_answers(self) -> bool:
         """Return whether every sidecar asked has answered."""
         return len(self.answers) >= len(self.asked)
 
-    def exhausted(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Return whether no further query, probe or answer can change the result."""
-        return self.settled() and not self.goes_on and not self.unknown()
+        return self.is_settled() and not self.has_next_round and not self.uncertain_upstreams()
 
-    def wave_over(self, now: int) -> bool:
-        """Return whether the present wave is answered or its time is over."""
-        return self.settled() or now >= self.due
+    def is_round_over(self, now: int) -> bool:
+        """Return whether the present round is answered or its time is over."""
+        return self.is_settled() or now >= self.due
 
     def trace_end(self, now: int, *, reset: bool, **more: typing.Any) -> effects.Effect:
         """Return the log event of a failed search; `reset` says whether the caller gets a reset."""
         return effects.trace(
-            "not_placed" if self.opening else "not_found",
+            "not_placed" if self.is_opening else "not_found",
             flow=packet.flow_text(self.flow),
             asked=len(self.asked),
             answered=len(self.answers),
@@ -177,19 +177,21 @@
             **more,
         )
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether all queries and probes sent so far are answered."""
-        return self.all_answered() and not self.open_probes()
+        return self.has_all_answers() and not self.has_open_probes()
 
 
-def later_waves(
-    rest: list[fleet.Upstream], others: typing.Iterable[fleet.Upstream]
+def split_into_rounds(
+    likely: list[fleet.Upstream], others: typing.Iterable[fleet.Upstream]
 ) -> list[list[fleet.Upstream]]:
-    """Return the waves for an open flow after the first one."""
-    rest = [*rest, *others]
-    return [rest[at : at + LATER_WAVE] for at in range(0, len(rest), LATER_WAVE)]
+    """Return the rounds for an open flow after the first one."""
+    likely = [*likely, *others]
+    return [likely[at : at + LATER_ROUND_SIZE] for at in range(0, len(likely), LATER_ROUND_SIZE)]
 
 
-def with_first(former: fleet.Upstream, wave: list[fleet.Upstream]) -> list[fleet.Upstream]:
-    """Return the wave with the flow's former home moved to its head."""
-    return [former, *(u for u in wave if u.address != former.address)]
+def prepend_upstream(
+    upstream: fleet.Upstream, upstreams: list[fleet.Upstream]
+) -> list[fleet.Upstream]:
+    """Return the round with the flow's former home moved to its head."""
+    return [upstream, *(u for u in upstreams if u.address != upstream.address)]
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -10,24 +10,24 @@
 from ebonystile.core.carrying import fleet, messages, packet
 from ebonystile.core.placing import ranking
 
-NEAR = 8
-"""Upstreams of the own availability zone in the first wave; traffic within a zone is free."""
+FIRST_ROUND_IN_ZONE = 8
+"""Upstreams of the own availability zone in the first round; traffic within a zone is free."""
 
-CANDIDATES = 3
-"""Upstreams in the wave after it. The least loaded of three is nearly the least loaded of all
+SECOND_ROUND_SIZE = 3
+"""Upstreams in the round after it. The least loaded of three is nearly the least loaded of all
 (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001)."""
 
 ZONE_COST = 1.0
 """Cost added to upstreams of other availability zones, in requests per slot. Waiting for one
 request is short against callers' timeouts, and traffic between zones is charged."""
 
-MOST_FLOW_WORK = 0.05
+MAX_LOAD_PER_FLOW = 0.05
 """Upper bound of the mean number of running requests per open flow."""
 
-COLD_WORK = 1.6
-"""Factor on the cost of an upstream that is warming up."""
+SLOW_START_COST_FACTOR = 1.6
+"""Factor on the cost of an upstream in slow start."""
 
-EQUAL_WORK = 0.05
+COST_TOLERANCE = 0.05
 """Difference of cost up to which upstreams count as equally loaded; rank decides among them.
 
 When many flows open at once after an outage, all queries are answered before the first flow
@@ -35,48 +35,48 @@
 flow to flow.
 """
 
-SLOW = 2.0
+SLOW_LATENCY_RATIO = 2.0
 """Ratio of an upstream's latency to the median above which it counts as slow: more than the mean of
 a few requests varies by chance."""
 
-LEAST_GOOD = 0.1
+MIN_SUCCESS_RATE = 0.1
 """Lower bound of the success rate, which keeps the cost finite."""
 
-CALM_GOOD = 0.9
+HEALTHY_SUCCESS_RATE = 0.9
 """Relative success rate from which an upstream counts as healthy."""
 
 
-OVERLOADED = 4
+OVERLOADED_REQUESTS_PER_SLOT = 4
 """Running and queued requests per slot from which an upstream counts as overloaded: its queue is
 short, and it refuses requests beyond it."""
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class Candidate:
     """The rating of an upstream for a new flow.
 
-    `cost` is its load per slot including the new flow, increased if it is warming up, slow or
-    failing; `sound` is set unless it fails more often than the others.
+    `cost` is its load per slot including the new flow, increased if it is in slow start, slow or
+    failing; `healthy` is set unless it fails more often than the others.
     """
 
     upstream: fleet.Upstream
     load: messages.Load
     cost: float
-    sound: bool
+    healthy: bool
 
     @property
-    def unavailable(self) -> tuple[bool, bool]:
+    def unavailability(self) -> tuple[bool, bool]:
         """Return whether the upstream is silent, and whether it takes no more flows at present."""
         return (self.load.unresponsive, self.load.full)
 
     @property
-    def calm(self) -> bool:
+    def is_uncongested(self) -> bool:
         """Return whether the upstream is available, healthy and has no queued requests."""
         load = self.load
-        return not any(self.unavailable) and load.running <= load.slots and self.sound
+        return not any(self.unavailability) and load.running <= load.slots and self.healthy
 
     @property
-    def overloaded(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Return whether the new flow should wait at the balancer instead.
 
         Flows that have just opened don't suffice: a request must run on every slot.
@@ -84,116 +84,117 @@
         load = self.load
         if load.full:
             return True
-        return load.saturated and load.running >= OVERLOADED * max(1, load.slots)
+        return load.saturated and load.running >= OVERLOADED_REQUESTS_PER_SLOT * max(1, load.slots)
 
 
-def compare(
+def compare_candidates(
     answers: typing.Iterable[tuple[fleet.Upstream, messages.Load]], zone: str, now: int
-) -> list[Standing]:
+) -> list[Candidate]:
     """Return the ratings of the upstreams that accept flows, in the order given.
 
     They depend only on what sidecars observe: an upstream with a gray failure reports itself
     healthy while requests hang, and its own load report may be stale.
     """
     accepting = [(upstream, load) for upstream, load in answers if load.accepting]
-    flow_work = mean_flow_work([load for _, load in accepting])
-    usual = usual_latency([load for _, load in accepting])
-    best_good = max((load.success_rate for _, load in accepting), default=1.0)
+    load_per_flow = mean_load_per_flow([load for _, load in accepting])
+    median_ms = median_latency([load for _, load in accepting])
+    best_success_rate = max((load.success_rate for _, load in accepting), default=1.0)
     return [
-        Standing(
+        Candidate(
             upstream,
             load,
-            cost_of(upstream, load, flow_work, usual, now) / goodness(load, best_good) ** 2
+            placement_cost(upstream, load, load_per_flow, median_ms, now)
+            / relative_success_rate(load, best_success_rate) ** 2
             + ZONE_COST * (upstream.zone != zone),
-            goodness(load, best_good) >= CALM_GOOD,
+            relative_success_rate(load, best_success_rate) >= HEALTHY_SUCCESS_RATE,
         )
         for upstream, load in accepting
     ]
 
 
-def mean_flow_work(loads: list[messages.Load]) -> float:
-    """Return the mean number of running requests per open flow, limited by `MOST_FLOW_WORK`."""
+def mean_load_per_flow(loads: list[messages.Load]) -> float:
+    """Return the mean number of running requests per open flow, limited by `MAX_LOAD_PER_FLOW`."""
     running = sum(load.running for load in loads)
     flows = sum(load.flows for load in loads)
-    return min(MOST_FLOW_WORK, running / flows) if flows else 0.0
+    return min(MAX_LOAD_PER_FLOW, running / flows) if flows else 0.0
 
 
-def usual_latency(loads: list[messages.Load]) -> float:
+def median_latency(loads: list[messages.Load]) -> float:
     """Return the lower median of the known latencies in ms, 0 if there are none."""
-    known = sorted(load.latency for load in loads if load.latency)
-    return known[(len(known) - 1) // 2] if known else 0.0
+    latencies = sorted(load.latency for load in loads if load.latency)
+    return latencies[(len(latencies) - 1) // 2] if latencies else 0.0
 
 
-def cost_of(
-    upstream: fleet.Upstream, load: messages.Load, flow_work: float, usual: float, now: int
+def placement_cost(
+    upstream: fleet.Upstream, load: messages.Load, load_per_flow: float, median_ms: float, now: int
 ) -> float:
-    """Return the load per slot with one more flow, increased for a cold or slow upstream."""
-    cost = (load.running + 1 + load.flows * flow_work) / max(1, load.slots)
+    """Return the load per slot with one more flow, increased if it is slow or in slow start."""
+    cost = (load.running + 1 + load.flows * load_per_flow) / max(1, load.slots)
     if now < upstream.slow_start_until:
-        cost *= COLD_WORK
-    if usual and load.latency > SLOW * usual:
-        cost *= load.latency / usual
+        cost *= SLOW_START_COST_FACTOR
+    if median_ms and load.latency > SLOW_LATENCY_RATIO * median_ms:
+        cost *= load.latency / median_ms
     return cost
 
 
-def goodness(load: messages.Load, best_good: float) -> float:
+def relative_success_rate(load: messages.Load, best_success_rate: float) -> float:
     """Return the success rate relative to the best of the upstreams compared."""
-    return max(LEAST_GOOD, load.success_rate) / max(LEAST_GOOD, best_good)
+    return max(MIN_SUCCESS_RATE, load.success_rate) / max(MIN_SUCCESS_RATE, best_success_rate)
 
 
-def best(standings: typing.Sequence[Standing]) -> Standing | None:
+def pick_best(candidates: typing.Sequence[Candidate]) -> Candidate | None:
     """Return the available upstream of the least cost, or None without upstreams.
 
     An unavailable one is returned only if all are. The first of equally loaded ones wins.
     """
-    if not standings:
+    if not candidates:
         return None
-    least = min(standings, key=lambda s: (s.unavailable, s.cost))
+    cheapest = min(candidates, key=lambda s: (s.unavailability, s.cost))
     equals = [
         s
-        for s in standings
-        if s.unavailable == least.unavailable and s.cost <= least.cost + EQUAL_WORK
+        for s in candidates
+        if s.unavailability == cheapest.unavailability and s.cost <= cheapest.cost + COST_TOLERANCE
     ]
     return equals[0]
 
 
-def order(
+def rank_upstreams(
     flow: packet.Flow, upstreams: typing.Iterable[fleet.Upstream], zone: str
 ) -> list[fleet.Upstream]:
     """Return the upstreams in the order in which they are asked to take a new flow.
 
     The order is the same for every copy of an opening packet and at every balancer of the zone.
     """
-    near, far = split(upstreams, zone)
-    return [*first_wave(flow, near), *further(flow, near, far)]
+    local, remote = split_by_zone(upstreams, zone)
+    return [*first_round(flow, local), *remaining_upstreams(flow, local, remote)]
 
 
-def split(
+def split_by_zone(
     upstreams: typing.Iterable[fleet.Upstream], zone: str
 ) -> tuple[list[fleet.Upstream], list[fleet.Upstream]]:
     """Return the upstreams of the zone and those of all other zones."""
-    near, far = [], []
+    local, remote = [], []
     for upstream in upstreams:
-        (near if upstream.zone == zone else far).append(upstream)
-    return near, far
+        (local if upstream.zone == zone else remote).append(upstream)
+    return local, remote
 
 
-def first_wave(flow: packet.Flow, near: list[fleet.Upstream]) -> list[fleet.Upstream]:
+def first_round(flow: packet.Flow, local: list[fleet.Upstream]) -> list[fleet.Upstream]:
     """Return the upstreams of the own zone that are asked first about a new flow."""
-    return ranking.rank(flow, near)[:NEAR]
+    return ranking.rank(flow, local)[:FIRST_ROUND_IN_ZONE]
 
 
-def further(
-    flow: packet.Flow, near: list[fleet.Upstream], far: list[fleet.Upstream]
+def remaining_upstreams(
+    flow: packet.Flow, local: list[fleet.Upstream], remote: list[fleet.Upstream]
 ) -> list[fleet.Upstream]:
-    """Return the upstreams after the first wave, those of other availability zones first."""
-    return ranking.rank(flow, far) + ranking.rank(flow, near)[NEAR:]
+    """Return the upstreams after the first round, those of other availability zones first."""
+    return ranking.rank(flow, remote) + ranking.rank(flow, local)[FIRST_ROUND_IN_ZONE:]
 
 
-def later_waves(
-    flow: packet.Flow, near: list[fleet.Upstream], far: list[fleet.Upstream]
+def later_rounds(
+    flow: packet.Flow, local: list[fleet.Upstream], remote: list[fleet.Upstream]
 ) -> list[list[fleet.Upstream]]:
-    """Return the waves that follow if the upstreams of the first are busy or silent."""
-    rest = further(flow, near, far)
-    groups = [rest[:CANDIDATES], rest[CANDIDATES : 3 * CANDIDATES]]
+    """Return the rounds that follow if the upstreams of the first are busy or silent."""
+    rest = remaining_upstreams(flow, local, remote)
+    groups = [rest[:SECOND_ROUND_SIZE], rest[SECOND_ROUND_SIZE : 3 * SECOND_ROUND_SIZE]]
     return [group for group in groups if group]
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -120,7 +120,7 @@
     caller = scene.open()
     lose_everything(scene)
     scene.ask(caller, b"again")
-    scene.run(finding.CONFIRM_MS - 10)
+    scene.run(finding.RETRY_SEARCH_MS - 10)
     assert caller.resets == 1
 
 
@@ -143,7 +143,7 @@
     scene.sent.clear()
     scene.ask(caller, b"again")
     scene.run(150)
-    assert len(messages_of(scene, messages.Probe)) <= flow_search.PROBED_EARLY
+    assert len(messages_of(scene, messages.Probe)) <= flow_search.MAX_EARLY_PROBES
     assert caller.resets == 0
     scene.run(balancer_state.MIN_VIEW_AGE_MS + 500)
     assert len(messages_of(scene, messages.Probe)) >= 59
@@ -298,9 +298,9 @@
     caller = scene.open()
     lose_everything(scene)
     known = scene.balancers[0].core.fleet.upstreams_of("s")
-    slow = placing.order(caller.flow, known, "a")[0].address
+    slow = placing.rank_upstreams(caller.flow, known, "a")[0].address
     scene.delays = lambda step, origin, target: [
-        flow_search.WAVE_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
+        flow_search.ROUND_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
     ]
     scene.ask(caller, b"again")
     scene.run(120)
@@ -383,7 +383,7 @@
         scene.ask(caller, b"again")
     scene.run(150)
     assert all(caller.resets == 1 for caller in callers)
-    assert len(messages_of(scene, messages.Ask)) <= 12 * flow_search.FIRST_WAVE
+    assert len(messages_of(scene, messages.Ask)) <= 12 * flow_search.FIRST_ROUND_SIZE
 
 
 def test_a_flow_that_was_found_again_is_asked_for_twice_once_more():
--- a/tests/carrying/test_overloaded.py
+++ b/tests/carrying/test_overloaded.py
@@ -90,10 +90,10 @@
 
 def test_a_flow_does_not_wait_longer_than_its_caller(monkeypatch):
     """The rush does not end; after 0.8 s the flow goes to the least busy upstream all the same."""
-    monkeypatch.setattr(placing.Standing, "overloaded", True)
+    monkeypatch.setattr(placing.Candidate, "is_overloaded", True)
     scene = Rush(upstreams=2)
     (caller,) = newcomers(scene, 1)
-    scene.run(opening.HOLD_MS - 30)
+    scene.run(opening.MAX_DEFER_MS - 30)
     assert not caller.open
     scene.run(100)
     assert caller.open and caller.answer is not None
@@ -114,7 +114,7 @@
     scene.fill(54)
     scene.sent.clear()
     newcomers(scene, 100)
-    scene.run(opening.HOLD_MS)
-    steps = opening.HOLD_MS / opening.HOLD_STEP_MS
+    scene.run(opening.MAX_DEFER_MS)
+    steps = opening.MAX_DEFER_MS / opening.DEFER_STEP_MS
     assert len(scene.sent) < 100 * 4 * 2 * steps
-    assert ends.OPEN_LIMIT_MS > opening.HOLD_MS
+    assert ends.OPEN_LIMIT_MS > opening.MAX_DEFER_MS
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -587,7 +587,9 @@
     scene = world.World(zones=("a",), upstreams=30, balancers=2)
     flow = packet.end_of("100.64.0.7", 40_001) + packet.end_of(*world.ROUTE)
     known = scene.balancers[0].core.fleet.upstreams_of("s")
-    first = [u.address for u in placing.order(flow, known, "a")[: flow_search.FIRST_WAVE]]
+    first = [
+        u.address for u in placing.rank_upstreams(flow, known, "a")[: flow_search.FIRST_ROUND_SIZE]
+    ]
     for address in first:
         scene.entry(scene.nodes[address], leaving=True)
     scene.known()
--- a/tests/carrying/test_placing.py
+++ b/tests/carrying/test_placing.py
@@ -18,7 +18,7 @@
 
 def chosen(*loads, now=0, **known):
     made = [(upstream(n, **known), load) for n, load in enumerate(loads)]
-    best = placing.best(placing.compare(made, "a", now))
+    best = placing.pick_best(placing.compare_candidates(made, "a", now))
     return best.upstream.name if best else None
 
 
@@ -33,9 +33,9 @@
 def test_an_upstream_that_has_just_started_counts_as_busier():
     load = messages.Load(1, 0, 2)
     warm, cold = upstream(1), upstream(2, slow_start_until=1_000)
-    costs = [s.cost for s in placing.compare([(warm, load), (cold, load)], "a", 500)]
+    costs = [s.cost for s in placing.compare_candidates([(warm, load), (cold, load)], "a", 500)]
     assert costs[1] > costs[0]
-    costs = [s.cost for s in placing.compare([(warm, load), (cold, load)], "a", 1_000)]
+    costs = [s.cost for s in placing.compare_candidates([(warm, load), (cold, load)], "a", 1_000)]
     assert costs[1] == costs[0]
 
 
@@ -71,19 +71,19 @@
         (load(0, 0, 1, unresponsive=True), False),
     ):
         others = [(upstream(2), load(5, 0, 1))]
-        standing = placing.compare([(upstream(1), answered), *others], "a", 0)[0]
-        assert standing.calm is calm
+        standing = placing.compare_candidates([(upstream(1), answered), *others], "a", 0)[0]
+        assert standing.is_uncongested is calm
 
 
 def test_those_of_the_own_zone_are_asked_first_and_many_others_in_the_end():
     everyone = [upstream(n, "ab"[n % 2]) for n in range(10)]
-    near, far = placing.split(everyone, "b")
-    first = placing.first_wave(flow(1), near)
+    near, far = placing.split_by_zone(everyone, "b")
+    first = placing.first_round(flow(1), near)
     assert {u.zone for u in first} == {"b"} and len(first) == 5
-    later = placing.later_waves(flow(1), near, far)
-    assert len(later[0]) == placing.CANDIDATES
+    later = placing.later_rounds(flow(1), near, far)
+    assert len(later[0]) == placing.SECOND_ROUND_SIZE
     assert len({u.name for wave in (first, *later) for u in wave}) == 10
-    assert placing.order(flow(1), everyone, "b")[:5] == first
+    assert placing.rank_upstreams(flow(1), everyone, "b")[:5] == first
 
 
 def test_another_zone_takes_a_flow_only_where_a_request_more_waits_in_the_own():
@@ -91,7 +91,9 @@
     near, far = upstream(1, "a"), upstream(2, "b")
 
     def taken(near_load, far_load):
-        return placing.best(placing.compare([(near, near_load), (far, far_load)], "a", 0)).upstream
+        return placing.pick_best(
+            placing.compare_candidates([(near, near_load), (far, far_load)], "a", 0)
+        ).upstream
 
     assert taken(load(2, 0, 1), load(1, 0, 1)) is near
     assert taken(load(3, 0, 1), load(1, 0, 1)) is far
@@ -100,8 +102,10 @@
 
 def test_the_order_of_asking_is_one_for_all_copies_and_differs_from_flow_to_flow():
     everyone = [upstream(n) for n in range(8)]
-    first = {placing.order(flow(port), everyone, "a")[0].name for port in range(1, 200)}
-    assert placing.order(flow(7), everyone, "a") == placing.order(flow(7), everyone[::-1], "a")
+    first = {placing.rank_upstreams(flow(port), everyone, "a")[0].name for port in range(1, 200)}
+    assert placing.rank_upstreams(flow(7), everyone, "a") == placing.rank_upstreams(
+        flow(7), everyone[::-1], "a"
+    )
     assert len(first) == 8
 
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -438,7 +438,7 @@
     Mutation(
         "few upstreams probed blindly",
         CORE + "carrying/probing.py",
-        "unknown = unknown[: max(0, flow_search.PROBED_BLIND - len(found.probed))]",
+        "unknown = unknown[: max(0, flow_search.MAX_BLIND_PROBES - len(search.probed))]",
         "pass",
     ),
     Mutation(
@@ -462,14 +462,14 @@
     Mutation(
         "sidecars that are gone are not waited for",
         CORE + "carrying/balancer_state.py",
-        "return min(found.give_up_at, found.asked_at + flow_search.UNLISTED_MS)",
-        "return found.give_up_at",
+        "return min(search.deadline, search.asked_at + flow_search.UNLISTED_TIMEOUT_MS)",
+        "return search.deadline",
     ),
     Mutation(
         "an empty list ends no flow",
         CORE + "carrying/balancer.py",
-        "if not begun.goes_on and (received.opens or self.is_view_confirmed(now)):",
-        "if not begun.goes_on:",
+        "if not search.has_next_round and (received.opens or self.is_view_confirmed(now)):",
+        "if not search.has_next_round:",
     ),
     Mutation(
         "own placings count",
@@ -498,20 +498,21 @@
     Mutation(
         "no reset by whoever has read less of the store",
         CORE + "carrying/finding.py",
-        "if found.revision > known.revision:",
+        "if search.revision > state.revision:",
         "if False:",
     ),
     Mutation(
         "searches for open flows bounded",
         CORE + "carrying/balancer.py",
-        "elif self.open_flow_searches < MAX_FINDING:",
+        "elif self.open_flow_searches < MAX_OPEN_FLOW_SEARCHES:",
         "elif True:",
     ),
     Mutation(
         "wide searches bounded",
         CORE + "carrying/balancer.py",
-        "if found.goes_on and found.opening:\n            return self.ask_next_round(found, now)",
-        "if found.goes_on:\n            return self.ask_next_round(found, now)",
+        "if search.has_next_round and search.is_opening:\n"
+        "            return self.ask_next_round(search, now)",
+        "if search.has_next_round:\n            return self.ask_next_round(search, now)",
     ),
     Mutation(
         "former services of a route searched",
@@ -553,13 +554,13 @@
     Mutation(
         "equals told apart by rank",
         CORE + "carrying/placing.py",
-        "EQUAL_WORK = 0.05",
-        "EQUAL_WORK = -1.0",
+        "COST_TOLERANCE = 0.05",
+        "COST_TOLERANCE = -1.0",
     ),
     Mutation(
         "upstreams without an entry asked before a reset",
         CORE + "carrying/finding.py",
-        "return [u for u in alive if now - since.get(u.address, now) < GONE_AFTER_MS]",
+        "return [u for u in unlisted if now - since.get(u.address, now) < GONE_TIMEOUT_MS]",
         "return []",
     ),
     Mutation(
@@ -595,28 +596,28 @@
     Mutation(
         "few upstreams probed before the view is confirmed",
         CORE + "carrying/probing.py",
-        "elif not known.is_view_confirmed(now):",
+        "elif not state.is_view_confirmed(now):",
         "elif False:",
     ),
     Mutation(
         "probes share messages",
         CORE + "carrying/probing.py",
-        "if len(unknown) > flow_search.FIRST_WAVE"
-        " or known.open_flow_searches >= asking.FINDING_SINGLY:",
-        "if False:",
+        "        len(unknown) > flow_search.FIRST_ROUND_SIZE\n"
+        "        or state.open_flow_searches >= asking.MAX_SINGLE_SEARCHES\n",
+        "        False\n",
     ),
     Mutation(
         "a late answer ends no search",
         CORE + "carrying/asking.py",
-        "    if found.flow not in known.ask_batch.waiting:\n",
-        "    if known.ask_batch.waiting.pop(found.flow, None):\n"
-        "        return known.end_search(found)\n"
-        "    if found.flow not in known.ask_batch.waiting:\n",
+        "    if search.flow not in state.ask_batch.waiting:\n",
+        "    if state.ask_batch.waiting.pop(search.flow, None):\n"
+        "        return state.end_search(search)\n"
+        "    if search.flow not in state.ask_batch.waiting:\n",
     ),
     Mutation(
         "silent ones are not waited for by each caller",
         CORE + "carrying/finding.py",
-        " if now - since.get(u.address, now) < GONE_AFTER_MS]",
+        " if now - since.get(u.address, now) < GONE_TIMEOUT_MS]",
         "]",
     ),
     Mutation(
@@ -634,8 +635,8 @@
     Mutation(
         "a search that ends in doubt is made again",
         CORE + "carrying/balancer.py",
-        "and found.looks < finding.MOST_LOOKS:",
-        "and found.looks < 2 and not_found:",
+        "and search.attempt < finding.MAX_ATTEMPTS:",
+        "and search.attempt < 2 and not_found:",
     ),
     Mutation(
         "relays grow with their zone",
@@ -712,7 +713,7 @@
     Mutation(
         "probes stay in the route's regions",
         CORE + "carrying/probing.py",
-        "    unknown = [u for u in unknown if known.fleet.is_in_regions(u.zone, regions)]\n",
+        "    unknown = [u for u in unknown if state.fleet.is_in_regions(u.zone, regions)]\n",
         "",
     ),
 )
