--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -1,4 +1,4 @@
-"""Sidecars that the store's list does not show, and how soon callers learn of lost flows."""
+"""Announcements of sidecars without an entry, and how soon lost flows are reset."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def seed_with(scene, *seeds):
-    """Let everybody know these balancers from the settings."""
+    """Configure these balancers as the seeds of all processes."""
     for node in scene.sidecars:
         node.core.announcer.seeds = tuple(seed.address for seed in seeds)
     for node in scene.balancers:
@@ -19,15 +19,15 @@
         node.core.confirmation.is_seed = node in seeds
 
 
-def view_begins(scene, nodes):
-    """Let balancers that have just started have their view from now on."""
+def make_views_current(scene, nodes):
+    """Let the views of balancers become current now, as after their start."""
     for node in nodes:
         node.core.set_view_current(False, scene.now)
         node.core.set_view_current(True, scene.now)
 
 
 def restart_everything(scene, *, upstreams):
-    """Start all processes anew, all at this moment, and the upstreams as well if told so."""
+    """Restart all processes at once, with `upstreams` the upstreams as well."""
     for node in scene.sidecars:
         if upstreams:
             node.upstream.restart()
@@ -37,24 +37,24 @@
 
 
 def restart_without_entry(scene, node, *, upstreams):
-    """Start everything anew after an upstream has lost its entry, which nobody remembers."""
+    """Restart everything after an upstream has lost its entry, with no process aware of it."""
     del scene.entry_of[node.address]
     restart_everything(scene, upstreams=upstreams)
     for other in scene.everyone():
         other.core.fleet.unlisted_until.clear()
 
 
-def test_callers_learn_of_flows_lost_with_everything_within_half_a_second():
-    """All machines lose power and are back; a caller's packet finds its flow nowhere.
+def test_flows_lost_in_a_power_loss_are_reset_within_half_a_second():
+    """A flow is not found while the balancer's view is unconfirmed.
 
-    Nobody knows yet whether the list is whole. Its next copy comes long after that has become
-    clear; told only then, it had no time left to be served on a new flow.
+    It must be reset once the view is confirmed, not only at the caller's next retransmission, which
+    would leave no time for a new flow.
     """
     scene = world.World(balancers=3)
     caller = scene.open()
     restart_everything(scene, upstreams=True)
     seed_with(scene, scene.balancers[1])
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(announcing.SEED_MIN_LISTENED_MS)
     assert caller.resets == 0
@@ -62,11 +62,10 @@
     assert caller.resets == 1
 
 
-def test_witnesses_tell_before_any_seed_has_started():
-    """All machines lose power, and the seeds' take longest to come back.
+def test_witnesses_confirm_a_view_before_any_seed_has_started():
+    """After a power loss the instances of the seeds may take longest to restart.
 
-    The first few sidecars of the list have listened since their own start and heard of nobody
-    without an entry. A balancer need not wait for a seed, and callers of lost flows are told.
+    The witnesses alone must be enough to confirm the view and reset lost flows.
     """
     scene = world.World(balancers=2, upstreams=6)
     caller = scene.open()
@@ -74,7 +73,7 @@
     scene.known(scene.sidecars)
     scene.run(300)
     scene.restart_balancer(scene.balancers[0])
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(announcing.WITNESS_MIN_LISTENED_MS - 300 - 20)
     assert caller.resets == 0
@@ -82,17 +81,16 @@
     assert caller.resets == 1
 
 
-def test_witnesses_tell_of_a_living_upstream_without_an_entry():
-    """As above, but only processes were killed, and one upstream has lost its entry in an outage.
+def test_witnesses_name_a_running_upstream_without_an_entry():
+    """A flow at an upstream without an entry must not be reset after all processes restarted.
 
-    Its sidecar tells the witnesses, as it tells the seeds, of which there are none. A balancer that
-    asks them hears of it and asks there before it tells the caller that its flow is over.
+    There are no seeds: its sidecar announces itself to the witnesses, which balancers ask.
     """
     scene = world.World(balancers=3, upstreams=6)
     caller = scene.open()
     home = scene.home_of(caller)
     restart_without_entry(scene, home, upstreams=False)
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(2 * SECOND)
     assert caller.resets == 0
@@ -100,10 +98,9 @@
 
 
 def test_witnesses_do_not_confirm_a_list_that_is_still_filling():
-    """Entries come back one by one after an outage, so that everybody's list grows.
+    """While entries return one by one after an outage, the set of witnesses changes.
 
-    With it changes who the witnesses are: a sidecar without an entry may have told others than a
-    balancer asks.
+    A sidecar without an entry may have announced itself to others than those a balancer asks.
     """
     scene = world.World(balancers=1, upstreams=8)
     caller = scene.open()
@@ -111,7 +108,7 @@
     listed = {a: e for a, e in scene.entry_of.items() if a != home.address}
     scene.entry_of = dict(list(listed.items())[:4])
     restart_everything(scene, upstreams=False)
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     for address, entry in list(listed.items())[4:]:
         scene.run(announcing.WITNESS_MIN_LISTENED_MS // 2)
@@ -121,10 +118,9 @@
 
 
 def test_a_witness_asked_just_after_its_list_has_grown_answers():
-    """A balancer's question and a change of the list come in one turn of the sidecar's loop.
+    """A question may be handled with a time slightly before the last change of the list.
 
-    The question bears the time at which the turn began, a millisecond before the change. The answer
-    must fit into a datagram; a process that failed on it would leave its upstream without packets.
+    A negative duration could not be encoded, and the sidecar's process would end.
     """
     scene = world.World()
     core = scene.sidecars[0].core
@@ -152,25 +148,22 @@
     caller = scene.open()
     restart_everything(scene, upstreams=True)
     seed_with(scene, scene.balancers[0])
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(500)
     assert caller.resets == 1
 
 
 @pytest.mark.parametrize("seeds", ["none", "dead", "just started"])
-def test_without_a_seed_that_can_tell_callers_wait_until_the_view_is_sure_by_itself(seeds):
-    """The instances that the settings name are gone, or their balancers have just started.
-
-    Two sidecars are listed, too few to be taken for witnesses of a whole list.
-    """
+def test_without_seeds_and_witnesses_a_view_is_confirmed_by_its_age(seeds):
+    """The seeds are gone or have just started, and two sidecars are too few witnesses."""
     scene = world.World(balancers=2, upstreams=2)
     caller = scene.open()
     restart_everything(scene, upstreams=True)
     if seeds != "none":
         seed_with(scene, scene.balancers[1])
     scene.balancers[1].alive = seeds != "dead"
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     if seeds == "just started":
         scene.balancers[1].core.started_at = scene.now + 10 * SECOND
         scene.balancers[1].core.confirmation.started_at = scene.now + 10 * SECOND
@@ -181,18 +174,17 @@
     assert caller.resets == 1
 
 
-def test_a_flow_at_an_upstream_without_an_entry_lives_through_the_loss_of_all_processes():
-    """The store was away for longer than entries last, and is back; all processes are killed then.
+def test_a_flow_at_an_upstream_without_an_entry_survives_a_restart_of_all_processes():
+    """After an outage of the store the list may lack a running upstream.
 
-    The list that the new ones read misses an upstream that lives. Its sidecar tells the seed, and
-    a balancer that is about to tell a caller that its flow is over asks there first.
+    Its sidecar announces itself to the seed, and a balancer asks there before it resets a flow.
     """
     scene = world.World(balancers=3)
     caller = scene.open()
     home = scene.home_of(caller)
     restart_without_entry(scene, home, upstreams=False)
     seed_with(scene, scene.balancers[1])
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(2 * SECOND)
     assert caller.resets == 0
@@ -207,18 +199,17 @@
     assert not announcer.due_announcements(True, 2 * announcing.ANNOUNCE_INTERVAL_MS)
 
 
-def test_a_sidecar_without_an_entry_for_long_is_silent():
-    """Its upstream is gone for good, or the store can't hear it, and is to be taken as gone."""
+def test_a_sidecar_without_an_entry_stops_its_announcements_after_a_time():
+    """An upstream that has no entry for long is gone, or counts as gone."""
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
     sent = [now for now in range(0, 60_000, 200) if announcer.due_announcements(False, now)]
     assert len(sent) == announcing.ANNOUNCE_UNLISTED_MS // announcing.ANNOUNCE_INTERVAL_MS
 
 
-def test_a_sidecar_that_is_gone_since_it_announced_itself_keeps_nobody_waiting():
-    """All machines lose power; one comes back for a moment, its upstream gone, and is taken away.
+def test_a_sidecar_that_ended_after_its_announcement_delays_no_reset():
+    """A balancer must not wait for an unlisted sidecar as long as for a listed one.
 
-    Its sidecar has announced itself meanwhile. Each caller whose flow was lost would be told a
-    third of a second later if its balancer waited for that sidecar as for one that is listed.
+    A sidecar may announce itself after a power loss and end with its instance soon after.
     """
     scene = world.World(balancers=3, upstreams=5)
     caller = scene.open()
@@ -227,20 +218,20 @@
     seed_with(scene, scene.balancers[1])
     scene.run(world.TICK_MS + 5)
     gone.alive = False
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(announcing.SEED_MIN_LISTENED_MS + 250)
     assert caller.resets == 1
 
 
 def test_an_empty_list_right_after_the_return_of_the_store_ends_no_flow():
-    """All entries have lapsed in an outage; a balancer that starts reads an empty list."""
+    """A balancer that starts after an outage in which all entries expired reads an empty list."""
     scene = world.World(balancers=1)
     caller = scene.open()
     listed = dict(scene.entry_of)
     scene.entry_of.clear()
     scene.restart_balancer(scene.balancers[0])
-    view_begins(scene, scene.balancers)
+    make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(500)
     assert caller.resets == 0
@@ -251,14 +242,14 @@
     assert caller.answer.endswith(b"again") and caller.resets == 0
 
 
-def test_a_sidecar_that_others_may_read_from_offers_itself_once_a_second():
+def test_a_relay_announces_itself_once_a_second():
     announcer = announcing.Announcer((("10.0.0.1", 7720),))
     announcer.is_relay = True
     sent = [now for now in range(0, 5_000, 200) if announcer.due_announcements(True, now)]
     assert sent == [0, 1_000, 2_000, 3_000, 4_000]
 
 
-def test_a_seed_names_at_most_as_many_sidecars_as_fit_into_a_datagram():
+def test_a_seed_names_no_more_sidecars_than_fit_into_a_datagram():
     scene = world.World(balancers=1)
     (seed,) = scene.balancers
     for number in range(announcing.MAX_UNLISTED_PER_ANSWER + 10):
@@ -269,12 +260,8 @@
     assert len(carrying.pack(sent.message)) <= 1_200
 
 
-def test_a_seed_that_can_t_name_all_sidecars_without_an_entry_confirms_nothing():
-    """The store has lost all entries in an outage, and every process has just started.
-
-    The seed has heard more sidecars than one answer holds. If its word confirmed the asker's view,
-    callers of the upstreams that it left out would be told that their flows are gone.
-    """
+def test_an_answer_that_can_t_name_all_sidecars_without_an_entry_confirms_no_view():
+    """If it did, flows at the sidecars that the answer leaves out would be reset."""
     scene = world.World(balancers=2)
     seed, asker = scene.balancers
     seed_with(scene, seed)
@@ -282,13 +269,13 @@
         source = (f"10.9.0.{number}", 7720)
         seed.core.on_message(messages.Announce(False, False), None, source, scene.now)
     scene.run(announcing.SEED_MIN_LISTENED_MS)
-    view_begins(scene, [asker])
+    make_views_current(scene, [asker])
     (sent,) = seed.core.on_message(messages.AskUnlisted(), None, asker.address, scene.now)
     asker.core.on_message(sent.message, None, seed.address, scene.now)
     assert not asker.core.is_view_confirmed(scene.now)
 
 
-def test_a_balancer_reads_from_a_sidecar_that_offers_itself():
+def test_a_balancer_adds_a_relay_that_announces_itself():
     scene = world.World(balancers=1)
     source = scene.sidecars[0].address
     offered = messages.Announce(True, True)
@@ -298,7 +285,7 @@
 
 @pytest.mark.parametrize("role", ["balancer", "sidecar"])
 def test_a_message_meant_for_the_other_role_changes_nothing(role):
-    """An instance's address was another role's before; a stray datagram must not end a process."""
+    """An address may have belonged to the other role before; a stray datagram must do no harm."""
     scene = world.World()
     node = scene.balancers[0] if role == "balancer" else scene.sidecars[0]
     stray = messages.Ask(b"f" * 12, 1) if role == "balancer" else messages.AnswerUnlisted(1, ())
@@ -306,7 +293,7 @@
     assert traced.event == "message_refused"
 
 
-def test_few_flows_wait_for_a_sure_view():
+def test_the_number_of_flows_waiting_for_a_confirmed_view_is_bounded():
     scene = world.World(balancers=1)
     core = scene.balancers[0].core
     for number in range(balancer_state.MAX_PENDING + 10):
--- a/tests/carrying/test_datagrams.py
+++ b/tests/carrying/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams about carried flows: every message comes back, and rubbish harms nobody."""
+"""Encoding and decoding of the datagrams about carried flows, also of malformed ones."""
 
 import hypothesis
 import pytest
@@ -61,12 +61,12 @@
 
 
 @hypothesis.given(MESSAGES)
-def test_a_message_comes_back_from_its_datagram(message):
+def test_a_message_is_decoded_from_its_datagram(message):
     assert carrying.unpack(carrying.pack(message)) == message
 
 
 @hypothesis.given(strategies.binary(max_size=100))
-def test_any_bytes_are_a_message_or_an_error_with_its_step(data):
+def test_malformed_datagrams_raise_a_datagram_error(data):
     try:
         carrying.unpack(data)
     except errors.DatagramError as error:
@@ -74,28 +74,28 @@
 
 
 @hypothesis.given(strategies.floats(0, 1))
-def test_a_share_of_good_results_is_kept_within_half_a_percent(good):
-    load = messages.Load(success_rate=good)
+def test_a_success_rate_is_encoded_within_half_a_percent(rate):
+    load = messages.Load(success_rate=rate)
     sent = messages.Answer(bytes(12), 1, messages.FlowStatus.HELD, load)
-    assert carrying.unpack(carrying.pack(sent)).load.success_rate == pytest.approx(good, abs=0.005)
+    assert carrying.unpack(carrying.pack(sent)).load.success_rate == pytest.approx(rate, abs=0.005)
 
 
-def test_numbers_too_large_for_their_field_are_cut():
+def test_numbers_too_large_for_their_field_are_clamped():
     load = messages.Load(running=1 << 20, slots=1 << 20, latency=1 << 20)
     sent = messages.Answer(bytes(12), 1, messages.FlowStatus.HELD, load)
     back = carrying.unpack(carrying.pack(sent)).load
     assert back.running == back.slots == back.latency == carrying.MAX_UINT16
 
 
-def test_a_cut_off_list_of_sidecars_is_refused():
-    """A list that lost its end would pass for all sidecars without an entry."""
+def test_a_truncated_list_of_sidecars_is_rejected():
+    """A truncated list must not count as all sidecars without an entry."""
     whole = carrying.pack(messages.AnswerUnlisted(500, (("10.0.0.1", 7720), ("10.0.0.2", 7720))))
     for kept in range(1, len(whole)):
         with pytest.raises(errors.DatagramError):
             carrying.unpack(whole[:kept])
 
 
-def test_a_cut_off_packet_among_several_is_refused():
+def test_a_truncated_packet_among_several_is_rejected():
     whole = carrying.pack(messages.ProbeMany((b"first", b"second")))
     with pytest.raises(errors.DatagramError):
         carrying.unpack(whole[:-1])
--- a/tests/carrying/test_reading.py
+++ b/tests/carrying/test_reading.py
@@ -1,4 +1,4 @@
-"""Which call of the store comes next when answers are late, lost, refused or forgotten."""
+"""The order of calls to the store when answers are late or lost, or history is compacted."""
 
 import random
 
@@ -16,8 +16,8 @@
     reader.on_listed(revision + 2, "", now)
 
 
-def test_all_is_read_once_and_then_watched_from_the_first_page_on():
-    """Pages are no snapshot: what changed between the first and the last must be seen again."""
+def test_all_lists_are_read_once_and_then_watched_from_the_first_page_on():
+    """Pages are no snapshot: a change between the first and the last page must not be missed."""
     reader = make()
     read_all(reader)
     call = reader.next_call(0)
@@ -26,11 +26,10 @@
     assert reader.is_current
 
 
-def test_a_start_reads_an_old_state_and_then_at_once_what_is_newer():
-    """A whole fleet starts; two calls at full price for each process would be most of a day's.
+def test_startup_uses_a_stale_read_that_a_watch_brings_up_to_date():
+    """Two consistent reads by every process of a starting fleet would cost too much.
 
-    The state that comes may be seconds old, so nobody is told anything by it before the watch from
-    its revision is answered, which does not wait for a change.
+    The view counts as current only when the first watch, which does not wait, has been answered.
     """
     reader = make()
     assert reader.next_call(0).allow_stale
@@ -43,9 +42,9 @@
     assert reader.next_call(8 + reading.CHANGE_PAUSE_MS).wait_until > 1_000
 
 
-def test_only_the_reads_of_a_start_may_be_old():
-    """History is gone, or a peer has a newer configuration: an old state would not bring it."""
-    for read_again in (
+def test_only_reads_at_startup_may_be_stale():
+    """A stale read might miss the newer configuration for which the reader starts over."""
+    for start_over in (
         reading.Reader.on_history_lost,
         reading.Reader.read_now,
         reading.Reader.mark_stale,
@@ -53,11 +52,11 @@
         reader = make()
         read_all(reader)
         reader.on_watched(9, False, 0)
-        read_again(reader, 0)
+        start_over(reader, 0)
         assert not reader.next_call(0).allow_stale
 
 
-def test_a_list_of_many_pages_is_followed_to_its_end():
+def test_all_pages_of_a_list_are_read():
     reader = make()
     reader.on_listed(5, "", 0)
     reader.on_listed(5, "servers/k", 0)
@@ -67,8 +66,8 @@
     assert reader.complete
 
 
-def test_every_call_has_a_short_limit_of_its_own():
-    """A lost answer leaves a connection that says nothing more.
+def test_every_call_has_a_short_timeout():
+    """A connection may hang after a lost answer.
 
     A watch must end soon enough to read again before a new configuration has to be in force.
     """
@@ -79,8 +78,8 @@
     assert call.wait_until < call.deadline <= 6_000
 
 
-def test_a_plain_call_is_given_up_early_if_its_answer_does_not_begin():
-    """A store that keeps silent at a start must not hold it for the limit of a whole answer."""
+def test_a_plain_call_fails_early_if_its_answer_does_not_begin():
+    """An unresponsive store must not delay startup by the timeout of a whole answer."""
     reader = make()
     call = reader.next_call(0)
     assert 400 < call.first_byte_by < call.deadline
@@ -88,7 +87,7 @@
     assert reader.next_call(0).first_byte_by is None
 
 
-def test_failures_are_followed_by_growing_pauses_and_the_view_counts_as_old():
+def test_failures_are_followed_by_growing_pauses_and_the_view_is_not_current():
     reader = make()
     read_all(reader)
     pauses = []
@@ -104,14 +103,14 @@
     assert reader.is_current and reader.recovered_at == now
 
 
-def test_a_store_without_the_history_is_read_anew():
+def test_a_store_that_has_compacted_the_history_is_read_again():
     reader = make()
     read_all(reader)
     reader.on_history_lost(10)
     assert reader.next_call(10).kind is reading.Kind.CONFIGURATION
 
 
-def test_after_a_pause_the_view_is_trusted_only_once_it_is_whole_again():
+def test_a_view_marked_stale_is_current_only_once_it_is_complete_again():
     reader = make()
     read_all(reader)
     reader.mark_stale(10)
@@ -120,8 +119,8 @@
     assert reader.is_current
 
 
-def test_news_in_quick_succession_wake_one_watch():
-    """Every watch that a change wakes is a priced call, and changes come in groups."""
+def test_changes_in_quick_succession_complete_one_watch():
+    """Each watch that returns a change is charged as a call, and changes come in groups."""
     reader = make()
     read_all(reader)
     reader.on_watched(8, True, 100)
--- a/tests/carrying/test_sourcing.py
+++ b/tests/carrying/test_sourcing.py
@@ -1,4 +1,4 @@
-"""Who watches the store, and where everybody else reads when a source fails."""
+"""Which processes watch the store, and which source the others read when one fails."""
 
 import collections
 
@@ -22,7 +22,7 @@
     return made
 
 
-def test_all_processes_agree_on_who_watches_without_talking():
+def test_all_processes_select_the_same_watchers():
     known = make_fleet()
     everyone = [sources_of(known, u.address, u.zone) for u in known.upstreams.values()]
     assert sum(s.is_watcher for s in everyone) == 3 * sourcing.MIN_WATCHERS
@@ -33,8 +33,8 @@
             assert reader.choose(True, 0) in watching
 
 
-def test_relays_are_worked_out_anew_only_when_the_list_has_changed():
-    """Each watch that ends asks for it, and the list of a large fleet is the same nearly always."""
+def test_relays_are_recomputed_only_when_the_list_has_changed():
+    """Every watch refreshes them, and sorting a large unchanged list each time is expensive."""
     known = make_fleet()
     reader = sources_of(known, ("10.9.0.1", 1))
     before = reader.relays
@@ -52,8 +52,8 @@
     assert min(chosen.count(c) for c in set(chosen)) > 60
 
 
-def test_a_reader_goes_from_relay_to_relay_and_in_the_end_to_the_store():
-    """A zone's relays die one after the other, as in a loss of power."""
+def test_a_reader_tries_all_relays_and_then_the_store():
+    """The relays of a zone may all fail at once, as in a power loss."""
     reader = sources_of(make_fleet(), ("10.9.0.1", 1))
     seen = []
     for _ in range(len(reader.relays) + 1):
@@ -65,7 +65,7 @@
     assert reader.choose(True, sourcing.RELAY_EXCLUSION_MS) == reader.relays[0]
 
 
-def test_a_watcher_that_the_store_refuses_reads_from_others_and_tries_again():
+def test_a_watcher_without_the_store_reads_from_relays_and_tries_the_store_again():
     known = make_fleet()
     watcher = next(
         s
@@ -78,14 +78,14 @@
     assert watcher.choose(True, sourcing.STORE_EXCLUSION_MS) is sourcing.STORE
 
 
-def test_a_start_asks_the_store_and_then_the_seeds():
+def test_startup_reads_from_the_store_and_then_from_the_seeds():
     starting = sourcing.Sources(("10.9.0.1", 1), "a", (("10.0.0.7", 1),))
     assert starting.choose(False, 0) is sourcing.STORE
     starting.on_failed(sourcing.STORE, 0)
     assert starting.choose(False, 1) == ("10.0.0.7", 1)
 
 
-def test_sidecars_that_leave_watch_last():
+def test_leaving_sidecars_are_selected_last():
     known = make_fleet(zones=("a",))
     before = sources_of(known, ("10.9.0.1", 1)).relays
     gone = next(u for u in known.upstreams.values() if u.address == before[0])
@@ -93,11 +93,10 @@
     assert before[0] not in sources_of(known, ("10.9.0.1", 1)).relays
 
 
-def test_relays_grow_with_their_zone_so_that_none_must_drop_readers():
-    """A zone of 400 sidecars: each relay has some 40 to 90 of them as readers, few hold them all.
+def test_the_number_of_relays_grows_with_the_zone():
+    """With too few relays, readers would exceed a relay's limit of connections.
 
-    A relay's server drops the oldest connection beyond its limit; with too few relays, readers
-    would push one another out for ever.
+    Its server closes the oldest connection then, and the readers would reconnect for ever.
     """
     known = make_fleet(zones=("a",), each=400)
     everyone = [sources_of(known, u.address) for u in known.upstreams.values()]
--- a/tests/carrying/test_table.py
+++ b/tests/carrying/test_table.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of its upstream's flows and work from the packets of both sides."""
+"""The flow table and the request statistics that a sidecar derives from packets."""
 
 import pytest
 
@@ -26,7 +26,7 @@
     return flow_table, record
 
 
-def test_an_offer_is_held_by_the_caller_that_acknowledges_it():
+def test_a_flow_is_held_once_its_caller_acknowledges_the_offer():
     flow_table, record = opened()
     assert flow_table.flow_status(FLOW, 0) is messages.FlowStatus.OFFERED
     assert flow_table.flow_status(FLOW, 101) is messages.FlowStatus.OFFERED
@@ -35,7 +35,7 @@
     assert flow_table.flow_status(FLOW, 900_000) is messages.FlowStatus.HELD
 
 
-def test_work_runs_from_the_request_to_its_answer():
+def test_a_request_runs_until_its_answer():
     flow_table, record = opened()
     assert flow_table.running_requests(1) == 1
     assert flow_table.running_requests(table.PENDING_REQUEST_MS + 1) == 0
@@ -47,8 +47,8 @@
     assert flow_table.running_requests(1_051) == 0
 
 
-def test_a_packet_sent_again_is_no_new_work():
-    """An answer is lost and the caller sends its request again; the upstream has long done it."""
+def test_a_retransmitted_request_is_not_counted_again():
+    """If an answer is lost, the caller retransmits a request that the upstream has completed."""
     flow_table, record = opened()
     flow_table.on_caller_packet(record, asked(), 1_000)
     flow_table.on_upstream_packet(record, sent(b"answer"), 1_050)
@@ -58,7 +58,7 @@
     assert flow_table.running_requests(1_301) == 1
 
 
-def test_positions_wrap_around():
+def test_sequence_numbers_wrap_around():
     flow_table, record = opened()
     last = table.POSITIONS - 1
     flow_table.on_caller_packet(record, asked(sequence=last), 1_000)
@@ -68,7 +68,7 @@
     assert table.continues_offer(last, 0) and not table.continues_offer(0, last)
 
 
-def test_flows_are_forgotten_when_they_end_or_fall_silent():
+def test_flows_expire_after_they_end_or_are_idle():
     flow_table, record = opened()
     flow_table.expire(15_000, table.OFFER_TIMEOUT_MS - 1)
     assert FLOW in flow_table.flows
@@ -92,7 +92,7 @@
 
 
 def test_a_caller_that_closes_its_side_still_waits_for_its_answer():
-    """A caller sends its request and closes its side at once; the work goes on."""
+    """A request must not count as failed because its caller closes its side early."""
     flow_table, record = opened()
     flow_table.on_caller_packet(record, asked(), 1_000)
     flow_table.on_caller_packet(record, asked(sequence=11, flags=packets.FIN, data=b""), 1_001)
@@ -104,8 +104,8 @@
     )
 
 
-def test_a_close_that_overtakes_the_answer_is_no_bad_result():
-    """An upstream answers and closes; its two packets change places on the way."""
+def test_a_close_that_overtakes_the_answer_is_no_failure():
+    """The upstream's answer and its close may arrive in reverse order."""
     flow_table, record = opened()
     flow_table.on_caller_packet(record, asked(), 1_000)
     flow_table.on_upstream_packet(record, sent(flags=packets.FIN, sequence=107), 1_040)
@@ -117,7 +117,7 @@
     )
 
 
-def test_a_close_in_place_of_the_answer_is_a_bad_result():
+def test_a_close_instead_of_an_answer_is_a_failure():
     flow_table, record = opened()
     flow_table.on_caller_packet(record, asked(), 1_000)
     flow_table.on_upstream_packet(record, sent(flags=packets.FIN), 1_040)
@@ -126,7 +126,7 @@
     )
 
 
-def test_a_request_that_hangs_is_a_bad_result_once():
+def test_a_stuck_request_is_one_failure():
     flow_table, record = opened()
     flow_table.on_caller_packet(record, asked(), 1_000)
     assert flow_table.running_requests(1_000 + table.STUCK_REQUEST_MS) == 1
@@ -134,7 +134,7 @@
     assert flow_table.request_stats.success_rate(1_001 + table.STUCK_REQUEST_MS) < 1
 
 
-def test_results_tell_how_long_requests_take_and_how_many_are_answered():
+def test_statistics_give_the_latency_and_the_success_rate():
     flow_table, record = opened()
     for number in range(40):
         at = 1_000 + 100 * number
@@ -146,13 +146,13 @@
     )
 
 
-def test_flows_that_end_without_an_answer_are_bad_results_which_fade():
-    """A grey upstream resets flows, or lets requests hang until their callers give up."""
+def test_flows_that_end_without_an_answer_are_failures_that_decay():
+    """A faulty upstream resets flows, or leaves requests unanswered until their callers abort."""
     flow_table = table.FlowTable()
     for number in range(8):
-        flow_of_one, at = asked(sequence=10), 1_000 + number
+        received, at = asked(sequence=10), 1_000 + number
         record = flow_table.add(FLOW, SOURCE, at)
-        flow_table.on_caller_packet(record, flow_of_one, at)
+        flow_table.on_caller_packet(record, received, at)
         if number % 2:
             flow_table.on_upstream_packet(record, sent(flags=packets.RST), at)
         else:
@@ -165,8 +165,8 @@
     ) == pytest.approx(bad / 2)
 
 
-def test_an_answer_far_too_quick_is_a_bad_result():
-    """A grey upstream answers half of its requests with an error, at once."""
+def test_an_answer_far_faster_than_usual_is_a_failure():
+    """A faulty upstream answers half of its requests with an error, at once."""
     flow_table, record = opened()
     for number in range(20):
         at = 1_000 + 100 * number
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -1,33 +1,35 @@
-"""What callers and cold upstreams get when many of them start at once."""
+"""Limits on new flows during the slow start of upstreams, and routes restricted to regions."""
 
 import pytest
 
 from ebonystile.core.carrying import routes, warming
 from tests.carrying import world
 
-PER_SECOND = 4
-LENGTH = 2_000
-BOUNDED = warming.SlowStart(LENGTH, PER_SECOND)
+MAX_FLOWS_PER_S = 4
+DURATION_MS = 2_000
+LIMITED = warming.SlowStart(DURATION_MS, MAX_FLOWS_PER_S)
 
 
-def bound(scene, warm_up=BOUNDED):
-    """Let every process know a service whose cold upstreams bear few flows a second."""
+def limit_slow_start(scene, slow_start=LIMITED):
+    """Configure a limit on new flows during the slow start in every process."""
     route = routes.Route("r", (("s", 1),))
-    warm_ups = {"s": warm_up}
-    made = routes.make_routes(2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS, warm_ups)
+    slow_starts = {"s": slow_start}
+    made = routes.make_routes(
+        2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS, slow_starts
+    )
     for node in scene.everyone():
         node.core.route_table.replace(made)
 
 
-def cool(scene, *nodes):
-    """Let upstreams be in their first seconds, by their entries."""
+def start_slowly(scene, *nodes):
+    """Put upstreams into their slow start by their entries."""
     for node in nodes:
-        scene.entry(node, slow_start_until=scene.now + LENGTH)
+        scene.entry(node, slow_start_until=scene.now + DURATION_MS)
     scene.known()
 
 
-def come(scene, count, over_ms):
-    """Let callers come one after another, by all balancers in turn; return them."""
+def open_flows(scene, count, over_ms):
+    """Open flows one after another, through all balancers in turn; return the callers."""
     callers = []
     for number in range(count):
         through = scene.balancers[number % len(scene.balancers)]
@@ -36,8 +38,8 @@
     return callers
 
 
-def most_in_a_second(scene, node):
-    """Return the most flows that an upstream got in any span of a second."""
+def max_flows_in_a_second(scene, node):
+    """Return the largest number of flows that an upstream got within any second."""
     times = [
         at
         for at, event, fields in scene.traces
@@ -46,97 +48,97 @@
     return max((sum(at <= t <= at + 1_000 for t in times) for at in times), default=0)
 
 
-def test_a_cold_upstream_gets_no_more_flows_in_any_second_than_it_bears():
-    """Two upstreams come back cold among two that are warm: all callers are served all the same."""
+def test_a_cold_upstream_gets_no_more_flows_in_a_second_than_its_limit():
+    """With two cold and two warm upstreams all callers are served within the limit."""
     scene = world.World()
-    bound(scene)
+    limit_slow_start(scene)
     cold = scene.sidecars[:2]
-    cool(scene, *cold)
-    callers = come(scene, 60, 1_500)
+    start_slowly(scene, *cold)
+    callers = open_flows(scene, 60, 1_500)
     scene.run(500)
-    assert all(most_in_a_second(scene, node) <= PER_SECOND for node in cold)
-    assert any(most_in_a_second(scene, node) for node in cold)
+    assert all(max_flows_in_a_second(scene, node) <= MAX_FLOWS_PER_S for node in cold)
+    assert any(max_flows_in_a_second(scene, node) for node in cold)
     assert not any(caller.resets for caller in callers)
     homes = [node for node in scene.sidecars for c in callers if c.flow in node.upstream.opened]
     assert len(homes) == 60
 
 
-def test_a_cold_upstream_gets_no_more_from_balancers_that_all_choose_it_at_once():
-    """Each balancer was told of room before the flows of the others had arrived."""
+def test_a_cold_upstream_keeps_its_limit_when_all_balancers_choose_it_at_once():
+    """Each balancer got an answer of spare capacity before the others' flows had arrived."""
     scene = world.World(balancers=8)
-    bound(scene)
+    limit_slow_start(scene)
     cold = scene.sidecars[:2]
-    cool(scene, *cold)
+    start_slowly(scene, *cold)
     through = scene.balancers
     callers = [scene.caller(41_000 + n, through=through[n % len(through)]) for n in range(40)]
     scene.run(500)
-    assert all(0 < len(node.upstream.opened) <= PER_SECOND for node in cold)
+    assert all(0 < len(node.upstream.opened) <= MAX_FLOWS_PER_S for node in cold)
     assert sum(len(node.upstream.opened) for node in scene.sidecars) == len(callers)
     assert not any(caller.resets for caller in callers)
 
 
-def test_callers_of_cold_upstreams_alone_are_told_in_time_to_come_back():
-    """Every upstream is cold after a loss of power; what they don't bear is refused, not lost."""
+def test_flows_beyond_the_limit_of_all_upstreams_are_reset_at_once():
+    """If every upstream is cold, as after a power loss, excess flows are refused, not dropped."""
     scene = world.World()
-    bound(scene)
-    cool(scene, *scene.sidecars)
-    callers = come(scene, 40, 400)
+    limit_slow_start(scene)
+    start_slowly(scene, *scene.sidecars)
+    callers = open_flows(scene, 40, 400)
     scene.run(500)
     opened = [c for c in callers if any(c.flow in n.upstream.opened for n in scene.sidecars)]
-    assert len(opened) >= PER_SECOND * len(scene.sidecars)
+    assert len(opened) >= MAX_FLOWS_PER_S * len(scene.sidecars)
     assert all(caller.resets == 1 for caller in callers if caller not in opened)
 
 
-def test_a_service_without_a_bound_fills_its_cold_upstreams():
+def test_a_service_without_a_limit_fills_its_cold_upstreams():
     scene = world.World()
-    bound(scene, warming.SlowStart(LENGTH))
-    cool(scene, *scene.sidecars)
-    callers = come(scene, 40, 400)
+    limit_slow_start(scene, warming.SlowStart(DURATION_MS))
+    start_slowly(scene, *scene.sidecars)
+    callers = open_flows(scene, 40, 400)
     scene.run(100)
     assert not any(caller.resets for caller in callers)
 
 
-def test_an_upstream_that_crashed_and_is_back_is_cold_before_its_entry_says_so():
-    """Its entry is that of before the crash for another second, and balancers go by it.
+def test_a_restarted_upstream_is_cold_before_its_entry_shows_the_restart():
+    """The entry is outdated for about a second after a crash.
 
-    The sidecar sees that the upstream holds a flow no more that it held.
+    The sidecar detects the restart when the upstream returns a packet of a flow that it held.
     """
     scene = world.World(zones=("a",), upstreams=1, balancers=1)
-    bound(scene)
+    limit_slow_start(scene)
     caller = scene.open()
     scene.sidecars[0].upstream.restart()
     scene.ask(caller, b"again")
     scene.run(20)
     assert caller.resets == 1
-    come(scene, 20, 400)
-    assert most_in_a_second(scene, scene.sidecars[0]) <= PER_SECOND + 1
+    open_flows(scene, 20, 400)
+    assert max_flows_in_a_second(scene, scene.sidecars[0]) <= MAX_FLOWS_PER_S + 1
 
 
 def test_an_upstream_without_an_entry_counts_as_cold():
     made = warming.SlowStartTracker()
-    for at in range(PER_SECOND):
-        assert made.has_capacity(BOUNDED, None, 1_000 + at)
+    for at in range(MAX_FLOWS_PER_S):
+        assert made.has_capacity(LIMITED, None, 1_000 + at)
         made.record_opened(1_000 + at)
-    assert not made.has_capacity(BOUNDED, None, 2_000)
-    assert made.has_capacity(BOUNDED, 0, 2_000)
-    assert made.has_capacity(BOUNDED, None, 2_001)
+    assert not made.has_capacity(LIMITED, None, 2_000)
+    assert made.has_capacity(LIMITED, 0, 2_000)
+    assert made.has_capacity(LIMITED, None, 2_001)
 
 
 @pytest.mark.parametrize("start", range(0, 1_000, 137))
-def test_the_bound_holds_for_every_span_of_a_second(start):
-    """Fixed seconds would let twice the flows through around their edge."""
+def test_the_limit_holds_for_a_sliding_window(start):
+    """Fixed windows would admit twice the limit around their boundary."""
     made = warming.SlowStartTracker()
     opened = []
     for now in range(start, start + 5_000, 20):
-        if made.has_capacity(BOUNDED, now + 1, now):
+        if made.has_capacity(LIMITED, now + 1, now):
             made.record_opened(now)
             opened.append(now)
-    assert max(sum(at <= t <= at + 1_000 for t in opened) for at in opened) <= PER_SECOND
-    assert len(opened) > 4 * PER_SECOND
+    assert max(sum(at <= t <= at + 1_000 for t in opened) for at in opened) <= MAX_FLOWS_PER_S
+    assert len(opened) > 4 * MAX_FLOWS_PER_S
 
 
-def keep_to(scene, *regions):
-    """Keep the route to regions; zone a lies in north, zone b in south."""
+def restrict_to_regions(scene, *regions):
+    """Restrict the route to regions; zone a lies in north, zone b in south."""
     route = routes.Route("r", (("s", 1),), regions)
     made = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS)
     for node in scene.everyone():
@@ -144,26 +146,26 @@
         node.core.fleet.regions = {"a": "north", "b": "south"}
 
 
-def test_flows_of_a_route_kept_to_a_region_go_to_no_other():
+def test_flows_of_a_route_restricted_to_a_region_go_to_no_other():
     scene = world.World()
-    keep_to(scene, "south")
+    restrict_to_regions(scene, "south")
     callers = [scene.open(41_000 + n, zone="ab"[n % 2]) for n in range(20)]
     assert {scene.home_of(caller).zone for caller in callers} == {"b"}
 
 
-def test_a_route_whose_regions_hold_no_upstream_is_refused_at_once():
+def test_flows_of_a_route_whose_regions_have_no_upstream_are_reset_at_once():
     scene = world.World()
-    keep_to(scene, "elsewhere")
+    restrict_to_regions(scene, "elsewhere")
     caller = scene.caller()
     scene.run(5)
     assert caller.resets == 1
 
 
 def test_a_sidecar_outside_the_routes_regions_refuses():
-    """A balancer with an older configuration sends a flow to another region."""
+    """A balancer with an outdated configuration may send a flow to another region."""
     scene = world.World()
     old = scene.balancers[0].core.route_table.routes
-    keep_to(scene, "south")
+    restrict_to_regions(scene, "south")
     for node in scene.balancers:
         node.core.route_table.routes = routes.Routes(3, old.by_end, old.idle_timeout_ms)
     caller = scene.caller()
@@ -173,9 +175,9 @@
 
 
 def test_no_packet_of_a_lost_flow_leaves_the_routes_regions():
-    """All sidecars have restarted and know no flow, so upstreams are probed with its packet."""
+    """After a restart of all sidecars upstreams are probed with packets of unknown flows."""
     scene = world.World()
-    keep_to(scene, "south")
+    restrict_to_regions(scene, "south")
     caller = scene.open(zone="a")
     for node in scene.sidecars:
         scene.restart_sidecar(node)
@@ -189,9 +191,9 @@
     assert not any(node.upstream.foreign for node in outside)
 
 
-def test_the_flow_of_an_unknown_zone_is_kept_out_of_every_region():
+def test_an_upstream_in_a_zone_without_a_region_gets_no_flows_of_a_restricted_route():
     scene = world.World(zones=("c",))
-    keep_to(scene, "south")
+    restrict_to_regions(scene, "south")
     caller = scene.caller(zone="c")
     scene.run(5)
     assert caller.resets == 1
