--- a/src/ebonystile/caller/client.py
+++ b/src/ebonystile/caller/client.py
@@ -215,7 +215,7 @@
         for flow in list(self.flows.values()):
             flow.core.tick(now)
             self.flush(flow)
-            if flow.core.done:
+            if flow.core.is_done:
                 del self.flows[flow.core.flow]
         if self.end_by and (now >= self.end_by or not self.closing()):
             self.loop.stop()
--- a/src/ebonystile/core/calls/call.py
+++ b/src/ebonystile/core/calls/call.py
@@ -11,39 +11,39 @@
 from ebonystile.core import rng, view
 from ebonystile.core.calls import progress
 
-RESEND_LIMIT = 2_000
-"""Longest interval between two resends, in ms; the first is `progress.RESEND_FIRST`."""
+MAX_RESEND_MS = 2_000
+"""Longest interval between two resends, in ms; the first is `progress.FIRST_RESEND_MS`."""
 
-SETTLE_GRACE = 2_000
+SETTLE_GRACE_MS = 2_000
 """Time after its deadline in which the outcome of a request is still asked for, in ms."""
 
-HEARTBEAT_SHARE = 3
+HEARTBEATS_PER_LEASE = 3
 """The next heartbeat is sent after the remaining lease divided by this number.
 
 So several heartbeats fit into any lease, and a lost one does not end an idle flow.
 """
 
-HEARTBEAT_LEAST, HEARTBEAT_MOST = 1_000, 60_000
+MIN_HEARTBEAT_MS, MAX_HEARTBEAT_MS = 1_000, 60_000
 """Shortest and longest interval between two heartbeats, in ms."""
 
-CLOSE_TRIES = 6
+MAX_CLOSE_ATTEMPTS = 6
 """How often `Close` is sent while unconfirmed. A home that never receives it keeps the flow until
 its lease ends, which can delay the exit of a leaving upstream."""
 
-SILENCE_LIMIT = 6_000
+HOME_TIMEOUT_MS = 6_000
 """After this time without any message, in ms, a caller that waits reopens its flow elsewhere.
 
 A dead home stays in the balancers' list for a while, and messages sent to it get no answer.
 """
 
-FEED_AHEAD = 64
+MAX_EARLY_EVENTS = 64
 """Most events buffered out of order; a home sends fewer without an acknowledgement."""
 
-FEED_SILENCE = 1_000
+FEED_TIMEOUT_MS = 1_000
 """After this time without an event, in ms, a feed is requested again from its position."""
 
 
-AFTER_CLOSE = (messages.Opened, messages.Moved, messages.Closed)
+MESSAGES_AFTER_CLOSE = (messages.Opened, messages.Moved, messages.Closed)
 """Messages that are processed even after the flow was closed."""
 
 
@@ -55,22 +55,22 @@
         self.randomness = randomness
         self.flow = randomness.randbytes(messages.ID_BYTES)
         self.token = b""
-        self.stands_for: tuple[int, ...] = ()
+        self.replaced_incarnations: tuple[int, ...] = ()
         self.attempt = 0
         self.open_deadline = deadline
         self.open_resend_at = now
-        self.open_wait = progress.RESEND_FIRST
+        self.open_backoff = progress.FIRST_RESEND_MS
         self.refusal: messages.OpenRefused | None = None
         self.closed = False
-        self.closes_left = 0
+        self.close_attempts_left = 0
         self.close_at = 0
-        self.reopened = 0
+        self.reopen_count = 0
         self.lease_until = now
-        self.heartbeat_at = now + HEARTBEAT_MOST
-        self.doubt = progress.Doubt()
-        self.silent_since = now
-        self.ticked_at = now
-        self.pending: dict[bytes, progress.Pending] = {}
+        self.heartbeat_at = now + MAX_HEARTBEAT_MS
+        self.unknown_flow = progress.UnknownFlowCount()
+        self.waiting_since = now
+        self.last_tick_at = now
+        self.pending: dict[bytes, progress.PendingRequest] = {}
         self.subscriptions: dict[bytes, progress.Subscription] = {}
         self.outbox: list[bytes] = []
         self.outcomes: list[progress.Result] = []
@@ -82,7 +82,7 @@
     def request(self, path: str, body: bytes, deadline: int, idempotent: bool, now: int) -> bytes:
         """Start a request and return its id."""
         total = max(1, -(-len(body) // messages.PART_BYTES))
-        pending = progress.Pending(
+        pending = progress.PendingRequest(
             self.randomness.randbytes(messages.ID_BYTES), path, body, deadline, idempotent, total
         )
         pending.missing = tuple(range(min(total, messages.WINDOW)))
@@ -126,18 +126,20 @@
         self.closed = True
         self.pending.clear()
         self.subscriptions.clear()
-        self.closes_left = CLOSE_TRIES
-        self.say_close(self.ticked_at)
+        self.close_attempts_left = MAX_CLOSE_ATTEMPTS
+        self.send_close(self.last_tick_at)
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Return whether the flow is closed and its close was confirmed or sent often enough."""
-        return self.closed and not self.closes_left
+        return self.closed and not self.close_attempts_left
 
-    def say_close(self, now: int) -> None:
+    def send_close(self, now: int) -> None:
         """Send `Close` to the home if there is one, and schedule the next attempt."""
-        self.closes_left -= 1
-        self.close_at = now + progress.RESEND_FIRST * (CLOSE_TRIES - self.closes_left)
+        self.close_attempts_left -= 1
+        self.close_at = now + progress.FIRST_RESEND_MS * (
+            MAX_CLOSE_ATTEMPTS - self.close_attempts_left
+        )
         if self.token:
             self.send(messages.Close(self.flow, self.service, self.token))
 
@@ -146,44 +148,44 @@
     def tick(self, now: int) -> None:
         """Send whatever is due and end requests past their deadline."""
         if self.closed:
-            if self.closes_left and self.close_at <= now:
-                self.say_close(now)
+            if self.close_attempts_left and self.close_at <= now:
+                self.send_close(now)
             return
         if not self.token:
             self.tick_open(now)
         elif self.heartbeat_at <= now:
-            self.plan_heartbeat(now)
+            self.schedule_heartbeat(now)
             self.send(messages.Heartbeat(self.flow, self.service, self.token))
         for pending in list(self.pending.values()):
             self.tick_request(pending, now)
         for subscription in self.subscriptions.values():
-            silent = now - subscription.heard_at >= FEED_SILENCE
-            if self.token and silent and subscription.resend_at <= now:
+            is_silent = now - subscription.received_at >= FEED_TIMEOUT_MS
+            if self.token and is_silent and subscription.resend_at <= now:
                 self.send_subscribe(subscription, now)
                 # The answer tells a feed without new events from a home that is gone.
                 self.send(messages.Heartbeat(self.flow, self.service, self.token))
-        self.watch_silence(now)
+        self.check_home_timeout(now)
 
-    def plan_heartbeat(self, now: int) -> None:
+    def schedule_heartbeat(self, now: int) -> None:
         """Schedule the next heartbeat."""
-        wait = (self.lease_until - now) // HEARTBEAT_SHARE
-        self.heartbeat_at = now + min(max(wait, HEARTBEAT_LEAST), HEARTBEAT_MOST)
+        wait = (self.lease_until - now) // HEARTBEATS_PER_LEASE
+        self.heartbeat_at = now + min(max(wait, MIN_HEARTBEAT_MS), MAX_HEARTBEAT_MS)
 
-    def watch_silence(self, now: int) -> None:
+    def check_home_timeout(self, now: int) -> None:
         """Reopen the flow if its home is silent, unless a pending request might then run twice.
 
         After a pause of the caller itself the silence is counted anew, since answers may still
         wait in its socket.
         """
         waiting = bool(self.subscriptions or self.pending) and bool(self.token)
-        if not waiting or now - self.ticked_at > FEED_SILENCE:
-            self.silent_since = now
-        self.ticked_at = now
-        if now - self.silent_since >= SILENCE_LIMIT and not self.in_doubt():
-            self.silent_since = now
+        if not waiting or now - self.last_tick_at > FEED_TIMEOUT_MS:
+            self.waiting_since = now
+        self.last_tick_at = now
+        if now - self.waiting_since >= HOME_TIMEOUT_MS and not self.has_uncertain_requests():
+            self.waiting_since = now
             self.reopen(now)
 
-    def in_doubt(self) -> bool:
+    def has_uncertain_requests(self) -> bool:
         """Return whether a request that must not run twice may have run at the current home."""
         return any(p.sent and not p.idempotent for p in self.pending.values())
 
@@ -192,52 +194,52 @@
         if self.open_resend_at > now or now >= self.open_deadline:
             return
         # Jitter and backoff keep callers that lost their homes together from synchronized retries.
-        self.open_resend_at = now + int(self.open_wait * (0.75 + self.randomness.random() / 2))
-        self.open_wait = min(RESEND_LIMIT, 2 * self.open_wait)
+        self.open_resend_at = now + int(self.open_backoff * (0.75 + self.randomness.random() / 2))
+        self.open_backoff = min(MAX_RESEND_MS, 2 * self.open_backoff)
         opening = messages.Open(self.flow, self.service, b"", self.attempt, self.open_deadline, b"")
         lacking = messages.OPEN_BYTES - len(messages.FROM_CALLER.encode(opening))
         self.send(dataclasses.replace(opening, padding=bytes(max(0, lacking))))
         self.attempt += 1
 
-    def tick_request(self, pending: progress.Pending, now: int) -> None:
+    def tick_request(self, pending: progress.PendingRequest, now: int) -> None:
         """Send the message that is due for a request, or end it after its deadline."""
         if now >= pending.deadline:
-            self.overdue(pending, now)
+            self.settle_overdue(pending, now)
         if pending.id not in self.pending or not self.token or pending.resend_at > now:
             return
-        self.back_off(pending, now)
+        self.schedule_resend(pending, now)
         if pending.settling:
             self.send(
                 messages.Settle(self.flow, self.service, self.token, pending.id, pending.deadline)
             )
         elif pending.cancelled:
             self.send(messages.Cancel(self.flow, self.service, self.token, pending.id))
-        elif pending.answer:
-            self.fetch(pending)
+        elif pending.answer_id:
+            self.send_fetch(pending)
         else:
             self.send_request(pending, now)
 
-    def overdue(self, pending: progress.Pending, now: int) -> None:
-        """Settle a request whose deadline has passed; end it as unknown after `SETTLE_GRACE`."""
+    def settle_overdue(self, pending: progress.PendingRequest, now: int) -> None:
+        """Settle a request whose deadline has passed; end it as unknown after `SETTLE_GRACE_MS`."""
         if not pending.sent:
             self.finish(
                 progress.Result(
                     pending.id, progress.Outcome.NOT_RUN, reason="it was never sent", retry_at=now
                 )
             )
-        elif now >= pending.deadline + SETTLE_GRACE:
+        elif now >= pending.deadline + SETTLE_GRACE_MS:
             self.finish(
                 progress.Result(pending.id, progress.Outcome.UNKNOWN, reason="no answer in time")
             )
-        elif not pending.settling and not pending.answer:
+        elif not pending.settling and not pending.answer_id:
             pending.settling = True
             pending.resend_at = now
-            pending.wait = progress.RESEND_FIRST
+            pending.backoff = progress.FIRST_RESEND_MS
 
-    def back_off(self, pending: progress.Pending, now: int) -> None:
+    def schedule_resend(self, pending: progress.PendingRequest, now: int) -> None:
         """Schedule the next resend of a request, with exponential backoff."""
-        pending.resend_at = now + pending.wait
-        pending.wait = min(RESEND_LIMIT, pending.wait * 2)
+        pending.resend_at = now + pending.backoff
+        pending.backoff = min(MAX_RESEND_MS, pending.backoff * 2)
 
     # Sending
 
@@ -245,11 +247,11 @@
         """Put a datagram into the outbox."""
         self.outbox.append(messages.FROM_CALLER.encode(message))
 
-    def send_request(self, pending: progress.Pending, now: int) -> None:
+    def send_request(self, pending: progress.PendingRequest, now: int) -> None:
         """Send the parts known to be missing; the last of them requests a report."""
         if pending.resend_at <= now:
-            pending.resend_at = now + pending.wait
-        numbers = pending.missing or (pending.total - 1,)
+            pending.resend_at = now + pending.backoff
+        numbers = pending.missing or (pending.total_parts - 1,)
         pending.sent = True
         for number in numbers:
             start = number * messages.PART_BYTES
@@ -263,7 +265,7 @@
                     pending.idempotent,
                     pending.path,
                     number,
-                    pending.total,
+                    pending.total_parts,
                     number == numbers[-1],
                     pending.body[start : start + messages.PART_BYTES],
                 )
@@ -271,7 +273,7 @@
 
     def send_subscribe(self, subscription: progress.Subscription, now: int) -> None:
         """Send `Subscribe` for a feed after its position."""
-        subscription.resend_at = now + progress.RESEND_FIRST * 2
+        subscription.resend_at = now + progress.FIRST_RESEND_MS * 2
         self.send(
             messages.Subscribe(
                 self.flow,
@@ -283,7 +285,7 @@
             )
         )
 
-    def fetch(self, pending: progress.Pending) -> None:
+    def send_fetch(self, pending: progress.PendingRequest) -> None:
         """Request the first missing parts of an answer, at most `messages.WINDOW`."""
         numbers = []
         for number in range(pending.answer_total):
@@ -293,7 +295,7 @@
                     break
         self.send(
             messages.Fetch(
-                self.flow, self.service, self.token, pending.id, pending.answer, tuple(numbers)
+                self.flow, self.service, self.token, pending.id, pending.answer_id, tuple(numbers)
             )
         )
 
@@ -303,8 +305,8 @@
         """Process a message for this flow."""
         if message.flow != self.flow:
             return
-        self.silent_since = now
-        if self.closed and not isinstance(message, AFTER_CLOSE):
+        self.waiting_since = now
+        if self.closed and not isinstance(message, MESSAGES_AFTER_CLOSE):
             return
         self.on_message(message, now)
 
@@ -318,19 +320,19 @@
         if view.unpack_token(message.token) is None:
             return
         if self.token:
-            self.on_opened_again(message)
+            self.on_repeated_opened(message)
             return
         self.token = message.token
-        self.stands_for = message.replaces
+        self.replaced_incarnations = message.replaces
         self.lease_until = message.lease_until
-        self.plan_heartbeat(now)
+        self.schedule_heartbeat(now)
         self.refusal = None
         for pending in self.pending.values():
             self.send_request(pending, now)
         for subscription in self.subscriptions.values():
             self.send_subscribe(subscription, now)
 
-    def on_opened_again(self, message: messages.Opened) -> None:
+    def on_repeated_opened(self, message: messages.Opened) -> None:
         """Use a successor's token, close an unrelated second home, and ignore other copies.
 
         A late copy of `Opened` may come from the flow's current or former home; closing that one
@@ -338,9 +340,9 @@
         """
         if self.is_replaced_by(message):
             self.token = message.token
-            self.stands_for = message.replaces
+            self.replaced_incarnations = message.replaces
             return
-        if view.unpack_token(message.token).incarnation not in self.stands_for:
+        if view.unpack_token(message.token).incarnation not in self.replaced_incarnations:
             self.send(messages.Close(self.flow, self.service, message.token))
 
     def is_replaced_by(self, message: messages.Opened | messages.Moved) -> bool:
@@ -365,11 +367,11 @@
         if view.unpack_token(message.token) is None or not self.is_replaced_by(message):
             return
         moved = message.token != self.token
-        self.doubt = progress.Doubt()
+        self.unknown_flow = progress.UnknownFlowCount()
         self.token = message.token
-        self.stands_for = message.replaces
+        self.replaced_incarnations = message.replaces
         self.lease_until = message.lease_until
-        self.plan_heartbeat(now)
+        self.schedule_heartbeat(now)
         # The answer to a heartbeat repeats the same token. Subscribing again each time would send
         # another heartbeat at every tick.
         for subscription in self.subscriptions.values() if moved else ():
@@ -381,8 +383,8 @@
         pending = self.pending.get(message.request)
         if pending is None or not message.missing:
             return
-        pending.missing = tuple(n for n in message.missing if 0 <= n < pending.total)
-        pending.wait = progress.RESEND_FIRST
+        pending.missing = tuple(n for n in message.missing if 0 <= n < pending.total_parts)
+        pending.backoff = progress.FIRST_RESEND_MS
         pending.resend_at = now
         self.send_request(pending, now)
 
@@ -392,7 +394,7 @@
         pending = self.pending.get(message.request)
         if pending is not None:
             pending.missing = ()
-            pending.doubt = progress.Doubt()
+            pending.unknown_flow = progress.UnknownFlowCount()
 
     @on_message.register
     def on_answer_part(self, message: messages.AnswerPart, now: int) -> None:
@@ -400,8 +402,8 @@
         pending = self.pending.get(message.request)
         if pending is None:
             return
-        if pending.answer != message.answer:
-            pending.answer = message.answer
+        if pending.answer_id != message.answer:
+            pending.answer_id = message.answer
             pending.answer_total = message.parts
             pending.answer_parts = {}
             pending.status = message.status
@@ -409,8 +411,8 @@
             return
         is_new = message.part not in pending.answer_parts
         pending.answer_parts[message.part] = message.body
-        pending.wait = progress.RESEND_FIRST
-        pending.resend_at = now + progress.RESEND_FIRST
+        pending.backoff = progress.FIRST_RESEND_MS
+        pending.resend_at = now + progress.FIRST_RESEND_MS
         have = len(pending.answer_parts)
         if have == pending.answer_total:
             body = b"".join(pending.answer_parts[n] for n in range(have))
@@ -424,7 +426,7 @@
         elif is_new and have % messages.WINDOW == 0:
             # A repeated part triggers no fetch: each would bring a whole window, whose repeated
             # parts would each trigger another one.
-            self.fetch(pending)
+            self.send_fetch(pending)
 
     @on_message.register
     def on_not_run(self, message: messages.NotRun, now: int) -> None:
@@ -455,7 +457,7 @@
         """Reopen the flow once several resends in a row were answered with `UnknownFlow`."""
         subscription = self.subscriptions.get(message.request)
         if subscription is not None:
-            if subscription.doubt.add(now):
+            if subscription.unknown_flow.record(now):
                 self.reopen(now)
             return
         if not message.request:
@@ -469,7 +471,7 @@
             pending.settling = True
             pending.resend_at = now
             return
-        if pending.doubt.add(now):
+        if pending.unknown_flow.record(now):
             self.reopen(now)
 
     def on_unknown_heartbeat(self, now: int) -> None:
@@ -478,9 +480,9 @@
         The lease ends during a long pause of the caller. Without this the next request that must
         not run twice would end as unknown, although it has not run.
         """
-        if not self.doubt.add(now):
-            self.heartbeat_at = now + progress.RESEND_FIRST
-        elif not self.in_doubt():
+        if not self.unknown_flow.record(now):
+            self.heartbeat_at = now + progress.FIRST_RESEND_MS
+        elif not self.has_uncertain_requests():
             self.reopen(now)
 
     @on_message.register
@@ -489,11 +491,11 @@
         subscription = self.subscriptions.get(message.request)
         if subscription is None:
             return
-        subscription.heard_at = now
-        subscription.doubt = progress.Doubt()
-        if subscription.position < message.position <= subscription.position + FEED_AHEAD:
-            subscription.ahead[message.position] = message.body
-        while (body := subscription.ahead.pop(subscription.position + 1, None)) is not None:
+        subscription.received_at = now
+        subscription.unknown_flow = progress.UnknownFlowCount()
+        if subscription.position < message.position <= subscription.position + MAX_EARLY_EVENTS:
+            subscription.early_events[message.position] = message.body
+        while (body := subscription.early_events.pop(subscription.position + 1, None)) is not None:
             subscription.position += 1
             self.events.append(progress.Event(subscription.id, subscription.position, body))
         self.send(
@@ -513,7 +515,7 @@
     def on_closed(self, message: messages.Closed, now: int) -> None:
         """Stop sending `Close`; a confirmation for a second home comes while the flow is open."""
         if self.closed:
-            self.closes_left = 0
+            self.close_attempts_left = 0
 
     def reopen(self, now: int) -> None:
         """Open the flow under a new id after its home was lost, and resume requests and feeds.
@@ -521,8 +523,8 @@
         Requests that must not run twice end as unknown, since the lost home may have run them, and
         so do cancelled ones.
         """
-        self.reopened += 1
-        self.doubt = progress.Doubt()
+        self.reopen_count += 1
+        self.unknown_flow = progress.UnknownFlowCount()
         for pending in list(self.pending.values()):
             if pending.sent and (pending.cancelled or not pending.idempotent):
                 self.finish(
@@ -530,20 +532,20 @@
                         pending.id, progress.Outcome.UNKNOWN, reason="the flow's home is lost"
                     )
                 )
-            pending.doubt = progress.Doubt()
-            pending.answer = b""
+            pending.unknown_flow = progress.UnknownFlowCount()
+            pending.answer_id = b""
             pending.answer_parts = {}
-            pending.missing = tuple(range(min(pending.total, messages.WINDOW)))
+            pending.missing = tuple(range(min(pending.total_parts, messages.WINDOW)))
         for subscription in self.subscriptions.values():
-            subscription.doubt = progress.Doubt()
+            subscription.unknown_flow = progress.UnknownFlowCount()
         self.flow = self.randomness.randbytes(messages.ID_BYTES)
         self.token = b""
-        self.stands_for = ()
+        self.replaced_incarnations = ()
         self.attempt = 0
         self.open_resend_at = now
-        self.open_wait = progress.RESEND_FIRST
+        self.open_backoff = progress.FIRST_RESEND_MS
         self.open_deadline = max(
-            [self.open_deadline, now + RESEND_LIMIT * 15]
+            [self.open_deadline, now + MAX_RESEND_MS * 15]
             + [pending.deadline for pending in self.pending.values()]
         )
         self.tick_open(now)
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -157,7 +157,7 @@
         entry.deadline,
         entry.idempotent,
         entry.keep_until,
-        entry.answer,
+        entry.answer_id,
         entry.status,
         entry.body,
         entry.reason,
@@ -371,7 +371,7 @@
         ledger.RequestState(number),
         keep_until,
     )
-    entry.answer, entry.status, entry.body, entry.reason, entry.retry_at = outcome
+    entry.answer_id, entry.status, entry.body, entry.reason, entry.retry_at = outcome
     state.ledger.add(entry)
 
 
--- a/src/ebonystile/core/calls/ledger.py
+++ b/src/ebonystile/core/calls/ledger.py
@@ -38,12 +38,12 @@
     path: str
     deadline: int
     idempotent: bool
-    total: int
+    total_parts: int
     state: RequestState
     keep_until: int
     parts: dict[int, bytes] = dataclasses.field(default_factory=dict)
     started_at: int = 0
-    answer: bytes = b""
+    answer_id: bytes = b""
     status: int = 0
     body: bytes = b""
     reason: str = ""
@@ -58,7 +58,7 @@
     @property
     def is_delivered(self) -> bool:
         """Return whether the caller has acknowledged the answer, which is no longer stored."""
-        return self.state is RequestState.ANSWERED and not self.answer
+        return self.state is RequestState.ANSWERED and not self.answer_id
 
 
 class Ledger:
@@ -109,7 +109,7 @@
     def hold_answer(self, entry: Entry, answer: bytes, body: bytes) -> None:
         """Set the answer id and body of a record; both are empty once delivered."""
         self.answer_bytes += len(body) - len(entry.body)
-        entry.answer = answer
+        entry.answer_id = answer
         entry.body = body
 
     def expire(self, now: int) -> list[Entry]:
--- a/src/ebonystile/core/calls/progress.py
+++ b/src/ebonystile/core/calls/progress.py
@@ -3,10 +3,10 @@
 import dataclasses
 import enum
 
-RESEND_FIRST = 200
+FIRST_RESEND_MS = 200
 """Time in ms until the first resend; each later one waits twice as long, up to the limit."""
 
-UNKNOWN_LIMIT = 3
+UNKNOWN_FLOW_LIMIT = 3
 """How many times a flow must be called unknown, a resend apart, before the caller believes it.
 
 Views reach the sidecars at different times, so one walk may miss a home that the next finds.
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Doubt:
+class UnknownFlowCount:
     """How often a flow was called unknown, and when the next time counts (ms).
 
     All parts of an upload take one walk at the same moment. Were each of its answers counted, one
@@ -44,16 +44,16 @@
     count: int = 0
     next_at: int = 0
 
-    def add(self, now: int) -> bool:
+    def record(self, now: int) -> bool:
         """Count a walk, if it is a resend after the last one; return whether to believe it."""
         if now >= self.next_at:
             self.count += 1
-            self.next_at = now + RESEND_FIRST
-        return self.count >= UNKNOWN_LIMIT
+            self.next_at = now + FIRST_RESEND_MS
+        return self.count >= UNKNOWN_FLOW_LIMIT
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
+class PendingRequest:
     """A request under way."""
 
     id: bytes
@@ -61,16 +61,16 @@
     body: bytes
     deadline: int
     idempotent: bool
-    total: int
+    total_parts: int
     missing: tuple[int, ...] = ()
     uploaded: bool = False
     resend_at: int = 0
-    wait: int = RESEND_FIRST
-    doubt: Doubt = dataclasses.field(default_factory=Doubt)
+    backoff: int = FIRST_RESEND_MS
+    unknown_flow: UnknownFlowCount = dataclasses.field(default_factory=UnknownFlowCount)
     sent: bool = False
     settling: bool = False
     cancelled: bool = False
-    answer: bytes = b""
+    answer_id: bytes = b""
     answer_total: int = 0
     answer_parts: dict[int, bytes] = dataclasses.field(default_factory=dict)
     status: int = 0
@@ -86,10 +86,10 @@
     id: bytes
     path: str
     position: int
-    heard_at: int = 0
+    received_at: int = 0
     resend_at: int = 0
-    doubt: Doubt = dataclasses.field(default_factory=Doubt)
-    ahead: dict[int, bytes] = dataclasses.field(default_factory=dict)
+    unknown_flow: UnknownFlowCount = dataclasses.field(default_factory=UnknownFlowCount)
+    early_events: dict[int, bytes] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -160,13 +160,13 @@
     now: int,
 ) -> None:
     """Store one part; admit the request once it is complete, else report the missing parts."""
-    if message.parts != entry.total or not 0 <= message.part < message.parts:
+    if message.parts != entry.total_parts or not 0 <= message.part < message.parts:
         state.trace("dropped", flow.id, entry.request, reason="parts do not fit the request")
         return
     if message.part not in entry.parts:
         entry.parts[message.part] = message.body
         state.upload_bytes += len(message.body)
-    if len(entry.parts) == entry.total:
+    if len(entry.parts) == entry.total_parts:
         admit(state, flow, entry, now)
     elif message.report:
         missing = missing_parts(entry)
@@ -178,7 +178,7 @@
 def missing_parts(entry: ledger.Entry) -> tuple[int, ...]:
     """Return the numbers of the first missing parts, at most `messages.WINDOW`."""
     missing = []
-    for number in range(entry.total):
+    for number in range(entry.total_parts):
         if number not in entry.parts:
             missing.append(number)
             if len(missing) == messages.WINDOW:
@@ -202,7 +202,7 @@
     state.trace("entered", flow.id, entry.request, path=entry.path)
     if isinstance(verdict, limits.Run):
         start(state, entry, now)
-    if entry.state is ledger.RequestState.QUEUED or entry.total > 1:
+    if entry.state is ledger.RequestState.QUEUED or entry.total_parts > 1:
         state.send_to_flow(flow, messages.Running(flow.id, entry.request))
 
 
@@ -227,7 +227,7 @@
     """Send a request that is already in the ledger to the upstream."""
     entry.state = ledger.RequestState.RUNNING
     entry.started_at = now
-    body = b"".join(entry.parts[number] for number in range(entry.total))
+    body = b"".join(entry.parts[number] for number in range(entry.total_parts))
     free_parts(state, entry)
     state.trace("started", entry.flow, entry.request)
     state.emit(
@@ -355,7 +355,7 @@
             messages.AnswerPart(
                 flow.id,
                 entry.request,
-                entry.answer,
+                entry.answer_id,
                 number,
                 total,
                 entry.status,
@@ -371,7 +371,7 @@
     entry = state.ledger.get(flow.id, message.request)
     if entry is None:
         send_unknown(state, flow, message.request, "no record of it is left", now)
-    elif entry.answer and entry.answer == message.answer:
+    elif entry.answer_id and entry.answer_id == message.answer:
         send_parts(state, flow, entry, message.parts[: messages.WINDOW])
     else:
         send_outcome(state, flow, entry, now)
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -146,7 +146,7 @@
 
     def leave(self, flow: client.Flow, session: Session) -> None:
         """Close a flow."""
-        session.reopened = flow.core.reopened
+        session.reopened = flow.core.reopen_count
         flow.close()
 
     def follow(self, flow: client.Flow, session: Session, source: random.Random) -> None:
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -5,7 +5,7 @@
 import tests.wire as wires
 from ebonystile.core.calls import call, events, ledger, progress, sidecar_state
 
-LATE_MS = call.SETTLE_GRACE + call.RESEND_LIMIT
+LATE_MS = call.SETTLE_GRACE_MS + call.MAX_RESEND_MS
 """A final word is later than promised if it comes this long after its deadline."""
 
 MAX_HONOURED_INCARNATIONS = 64
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -318,14 +318,14 @@
     Mutation(
         "answers of two runs not mixed",
         CORE + "calls/call.py",
-        "        if pending.answer != message.answer:\n",
-        "        if not pending.answer:\n",
+        "        if pending.answer_id != message.answer:\n",
+        "        if not pending.answer_id:\n",
     ),
     Mutation(
         "feed delivered in order",
         CORE + "calls/call.py",
-        "subscription.ahead.pop(subscription.position + 1, None)",
-        "subscription.ahead.pop(message.position, None)",
+        "subscription.early_events.pop(subscription.position + 1, None)",
+        "subscription.early_events.pop(message.position, None)",
     ),
     Mutation(
         "feed delivered once",
@@ -336,8 +336,8 @@
     Mutation(
         "unknown flow confirmed before it is believed",
         CORE + "calls/progress.py",
-        "UNKNOWN_LIMIT = 3",
-        "UNKNOWN_LIMIT = 1",
+        "UNKNOWN_FLOW_LIMIT = 3",
+        "UNKNOWN_FLOW_LIMIT = 1",
     ),
     Mutation(
         "unknown flow counted once a resend",
@@ -360,8 +360,8 @@
     Mutation(
         "silent home left",
         CORE + "calls/call.py",
-        "SILENCE_LIMIT = 6_000",
-        "SILENCE_LIMIT = 6_000_000",
+        "HOME_TIMEOUT_MS = 6_000",
+        "HOME_TIMEOUT_MS = 6_000_000",
     ),
     Mutation(
         "answer returns by another balancer",
--- a/tests/test_call.py
+++ b/tests/test_call.py
@@ -42,7 +42,7 @@
     assert [o.outcome for o in caller.outcomes] == [progress.Outcome.NOT_RUN]
     wire.run(9_000)
     assert wire.all_runs[request] == 0
-    assert caller.reopened == 0
+    assert caller.reopen_count == 0
 
 
 def test_flow_whose_lease_has_ended_is_opened_anew_before_a_request_needs_it():
@@ -55,7 +55,7 @@
     wire.run(10_000)
     wire.callers.update(asleep)
     wire.run(2_000)
-    assert caller.reopened == 1
+    assert caller.reopen_count == 1
     request = caller.request("report", b"r", wire.now + 9_000, False, wire.now)
     wire.run(2_000)
     assert [(o.request, o.outcome) for o in caller.outcomes] == [
@@ -104,9 +104,9 @@
     for _ in range(messages.WINDOW):
         caller.receive(unknown, NOW)
     assert caller.outcomes == []
-    for walk in range(1, progress.UNKNOWN_LIMIT):
+    for walk in range(1, progress.UNKNOWN_FLOW_LIMIT):
         assert caller.outcomes == []
-        caller.receive(unknown, NOW + walk * progress.RESEND_FIRST)
+        caller.receive(unknown, NOW + walk * progress.FIRST_RESEND_MS)
     assert [o.outcome for o in caller.outcomes] == [progress.Outcome.UNKNOWN]
 
 
@@ -141,9 +141,9 @@
     caller = caller_with_token()
     caller.subscribe("spans", 0, NOW)
     caller.request("r", b"", NOW + 20_000, False, NOW)
-    for now in range(NOW, NOW + 2 * call.SILENCE_LIMIT, 50):
+    for now in range(NOW, NOW + 2 * call.HOME_TIMEOUT_MS, 50):
         caller.tick(now)
-    assert caller.reopened == 0
+    assert caller.reopen_count == 0
     assert caller.outcomes == []
 
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -94,7 +94,7 @@
 
 @then("the crew never had to open its flow anew")
 def kept(stage):
-    assert stage.caller.reopened == 0
+    assert stage.caller.reopen_count == 0
 
 
 @when("the address of its upstream goes to the evidence service")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -135,7 +135,7 @@
     ran = [r for r in reports if outcomes[r].outcome is progress.Outcome.ANSWERED]
     assert all(wire.all_runs[r] == 1 for r in ran)
     assert all(wire.all_runs[r] == 0 for r in set(reports) - set(ran))
-    assert caller.reopened == 0
+    assert caller.reopen_count == 0
 
 
 def test_sigterm_drains():
@@ -191,7 +191,7 @@
     wire.judge = judge
     caller.close()
     wire.run(3_000)
-    assert caller.done
+    assert caller.is_done
     assert not any(home.core.flows for home in wire.homes.values())
     said = len(seen)
     wire.run(5_000)
