--- a/benches/control.py
+++ b/benches/control.py
@@ -132,7 +132,7 @@
     """Return a change of one label in one shard of labels, a new one each time."""
 
     def change() -> None:
-        revision = conf.values.complete + 1
+        revision = conf.values.complete_revision + 1
         value = {
             "instances": {
                 f"upstream-{n}": target.make_labels(n, target.SERVICES)
@@ -151,7 +151,7 @@
     """Return a change of one listed instance, leaving and staying by turns."""
 
     def change() -> None:
-        revision = conf.instances.complete + 1
+        revision = conf.instances.complete_revision + 1
         own = conf.instances.entries["upstream-0"].value
         entry = store.Entry(revision, dataclasses.replace(own, leaving=not own.leaving))
         conf.apply_instances(store.Delta(revision - 1, revision, 0, (("upstream-0", entry),)))
--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -39,11 +39,11 @@
 def on_gossip(state: gossip_state.GossipState, message: control.Gossip) -> None:
     """Count the answer of a peer, unless that peer is itself catching up."""
     catch_up = state.catch_up
-    if catch_up is None or catch_up.pending_answers.pop(message.answers, None) is None:
+    if catch_up is None or catch_up.pending_answers.pop(message.answered_nonce, None) is None:
         return
     if message.caught_up:
         catch_up.peers_answered += 1
-    catch_up.highest_digest = catch_up.highest_digest.join(gossip_state.digest_of(message))
+    catch_up.highest_digest = catch_up.highest_digest.merge(gossip_state.digest_of(message))
 
 
 def on_platform(state: gossip_state.GossipState, stream: str, answered: bool) -> None:
--- a/src/ebonystile/core/control/configuration.py
+++ b/src/ebonystile/core/control/configuration.py
@@ -46,7 +46,7 @@
         """Return whether `other` is complete up to a higher revision in either part."""
         return other.values > self.values or other.instances > self.instances
 
-    def join(self, other: "Digest") -> "Digest":
+    def merge(self, other: "Digest") -> "Digest":
         """Return the higher revision of each part."""
         return Digest(max(self.values, other.values), max(self.instances, other.instances))
 
@@ -55,12 +55,12 @@
 class PullRequest:
     """What a configuration contains, so that an update can be limited to the rest.
 
-    `lacking` holds the refused keys with the revision in force for them. A newer value that another
-    process has in force may be below the digest, and would otherwise not be sent.
+    `refused_keys` holds the refused keys with the revision in force for them. A newer value that
+    another process has in force may be below the digest, and would otherwise not be sent.
     """
 
     digest: Digest = Digest()
-    lacking: tuple[tuple[str, int], ...] = ()
+    refused_keys: tuple[tuple[str, int], ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -137,38 +137,38 @@
         self.instances = store.Store()
         self.refusals: dict[str, Refusal] = {}
         self.overrides: dict[str, assembly.Instance] = {}
-        self.parts = assembly.Assembly()
+        self.assembly = assembly.Assembly()
         self.is_view_stale = False
 
     @property
     def digest(self) -> Digest:
         """The revisions up to which this configuration is complete."""
-        return Digest(self.values.complete, self.instances.complete)
+        return Digest(self.values.complete_revision, self.instances.complete_revision)
 
     @property
     def view(self) -> view.View:
         """The view in force; rebuilt on access if something has changed."""
         if self.is_view_stale:
             self.is_view_stale = False
-            self.parts.build(self.values.complete, self.instances.complete)
-        return self.parts.view
+            self.assembly.build(self.values.complete_revision, self.instances.complete_revision)
+        return self.assembly.view
 
     @property
-    def refused(self) -> list[Refusal]:
+    def current_refusals(self) -> list[Refusal]:
         """The current refusals; one ends when a value of its revision or above is accepted."""
         return sorted(self.refusals.values())
 
     def pull_request(self) -> PullRequest:
         """Return the request to send with a pull."""
-        lacking = []
+        refused_keys = []
         for key in sorted(self.refusals):
             entry = self.values.entries.get(key)
-            lacking.append((key, entry.revision if entry else 0))
-        return PullRequest(self.digest, tuple(lacking))
+            refused_keys.append((key, entry.revision if entry else 0))
+        return PullRequest(self.digest, tuple(refused_keys))
 
     @property
     def is_incomplete(self) -> bool:
-        """Whether a refused key has no value here; other processes may have an older one."""
+        """Whether a refused key has no value here, though other processes may have an older one."""
         return any(key not in self.values.entries for key in self.refusals)
 
     def update_for(self, request: PullRequest) -> Update:
@@ -180,8 +180,12 @@
         values = dataclasses.replace(
             values, entries=values.entries + self.missing_entries(request, values)
         )
-        refusals = tuple(r for r in self.refused if values.after < r.revision <= values.complete)
-        if values.complete < self.values.complete:
+        refusals = tuple(
+            r
+            for r in self.current_refusals
+            if values.after < r.revision <= values.complete_revision
+        )
+        if values.complete_revision < self.values.complete_revision:
             after = request.digest.instances
             return Update(values, store.Delta(after, after, 0, ()), refusals)
         return Update(values, self.instances.delta(request.digest.instances), refusals)
@@ -197,7 +201,7 @@
         named = {key for key, _ in values.entries}
         entries = [
             (key, self.values.entries[key])
-            for key, revision in request.lacking
+            for key, revision in request.refused_keys
             if key in self.values.entries
             and key not in named
             and self.values.entries[key].revision > revision
@@ -228,7 +232,7 @@
                 if self.record_refusal(refusal):
                     refusals.append(refusal)
         checked = dataclasses.replace(delta, entries=tuple(accepted))
-        return self.join_values(delta, checked), refusals
+        return self.merge_values(delta, checked), refusals
 
     def install_entry(self, key: str, entry: store.Entry) -> list[str]:
         """Validate an entry and, if it is the newest, add it to the view; return its faults."""
@@ -247,7 +251,7 @@
         """Return whether an old value fills a key of which only a refused value was received."""
         return key in self.refusals and key not in self.values.entries
 
-    def join_values(self, delta: store.Delta, checked: store.Delta) -> list[str]:
+    def merge_values(self, delta: store.Delta, checked: store.Delta) -> list[str]:
         """Merge the accepted entries; keys with a refusal are not deleted by their absence."""
         deleted = self.values.deleted_by(delta, self.refusals)
         for key in deleted:
@@ -268,9 +272,9 @@
         self.is_view_stale = True
         if key.startswith("services/"):
             specs = document.services if document is not None else {}
-            self.parts.put_services(key, {n: make_spec(s) for n, s in specs.items()})
+            self.assembly.put_services(key, {n: make_spec(s) for n, s in specs.items()})
         else:
-            self.parts.put_labels(key, document.instances if document is not None else {})
+            self.assembly.put_labels(key, document.instances if document is not None else {})
 
     def record_refusal(self, refusal: Refusal) -> bool:
         """Keep a refusal unless its key has a newer value or refusal; return whether kept."""
@@ -293,11 +297,13 @@
 
     def apply_instances(self, delta: store.Delta) -> list[str]:
         """Apply a delta of the platform's list; return the names that changed."""
-        before = self.instances.complete
-        names = self.instances.join(delta)
+        before = self.instances.complete_revision
+        names = self.instances.merge(delta)
         for name in names:
             self.update_instance(name)
-        self.is_view_stale = self.is_view_stale or bool(names) or self.instances.complete != before
+        self.is_view_stale = (
+            self.is_view_stale or bool(names) or self.instances.complete_revision != before
+        )
         return names
 
     def set_override(self, name: str, instance: assembly.Instance | None) -> None:
@@ -313,11 +319,11 @@
         """Set an instance in the assembly of the view: its override, else the list's entry."""
         entry = self.instances.entries.get(name)
         listed = entry.value if entry is not None else None
-        self.parts.put_instance(name, self.overrides.get(name, listed))
+        self.assembly.put_instance(name, self.overrides.get(name, listed))
 
     def conflicts(self) -> list[str]:
         """Return one line for each service or instance that is in more than one document."""
-        return self.parts.specs.conflicts() + self.parts.labels.conflicts()
+        return self.assembly.specs.conflicts() + self.assembly.labels.conflicts()
 
 
 def make_spec(spec: documents.ServiceSpec) -> assembly.Spec:
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -175,7 +175,7 @@
 @on_event.register
 def _(event: PlatformRead, state, now):
     before = state.configuration.digest
-    older = event.delta.complete < watching.known_revision(state, event.stream)
+    older = event.delta.complete_revision < watching.known_revision(state, event.stream)
     if event.stream == watching.VALUES:
         keys, refusals = state.configuration.apply_values(event.delta)
         changes = configuration.Changes(tuple(keys), tuple(refusals))
--- a/src/ebonystile/core/control/gossip_state.py
+++ b/src/ebonystile/core/control/gossip_state.py
@@ -235,7 +235,7 @@
         return 1 + self.randomness.randrange(1 << 62)
 
     def make_gossip(
-        self, nonce: int = 0, answers: int = 0, first: membership.Statement | None = None
+        self, nonce: int = 0, answered_nonce: int = 0, first: membership.Statement | None = None
     ) -> control.Gossip:
         """Return a gossip message with the next membership updates, `first` ahead of them."""
         updates = self.membership.take_updates()
@@ -245,7 +245,7 @@
         return control.Gossip(
             control.pack_statement(self.membership.own),
             nonce,
-            answers,
+            answered_nonce,
             digest.values,
             digest.instances,
             self.platform_confirmed_at,
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -164,7 +164,7 @@
     pulling.note_peer_ahead(state, address, gossip_state.digest_of(message), now)
     if message.nonce:
         first = newer_statement(state, sender.name, sender.generation)
-        state.send(address, state.make_gossip(answers=message.nonce, first=first))
+        state.send(address, state.make_gossip(answered_nonce=message.nonce, first=first))
 
 
 def settle_probes(
@@ -174,7 +174,7 @@
     items: list[membership.Statement],
 ) -> None:
     """End the probes that this message answers, and relay it to a process that asked for one."""
-    state.probes.pop(message.answers, None)
+    state.probes.pop(message.answered_nonce, None)
     alive = {item.name for item in items if item.state < membership.MemberState.SUSPECT}
     alive.add(sender.name)
     for nonce in [n for n, p in state.probes.items() if p.indirect and p.name in alive]:
--- a/src/ebonystile/core/control/store.py
+++ b/src/ebonystile/core/control/store.py
@@ -29,14 +29,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """The entries above `after` and up to `complete` of another store or of the platform.
+    """The entries above `after` and up to `complete_revision` of another store or of the platform.
 
     `names` holds all keys of the sending store if the receiving copy is behind dropped tombstones:
     an entry of that copy at or below `floor` whose key is not in `names` was deleted.
     """
 
     after: int
-    complete: int
+    complete_revision: int
     floor: int
     entries: tuple[tuple[str, Entry], ...]
     names: tuple[str, ...] | None = None
@@ -44,9 +44,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Store:
-    """Entries by key, with every change of the platform up to the revision `complete`."""
+    """Entries by key, with every change of the platform up to the revision `complete_revision`."""
 
-    complete: int = 0
+    complete_revision: int = 0
     floor: int = 0
     entries: dict[str, Entry] = dataclasses.field(default_factory=dict)
     tombstones: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -89,13 +89,13 @@
         entries = [(k, e) for k, e in self.entries.items() if e.revision > after]
         entries.sort(key=lambda item: item[1].revision)
         names = tuple(self.entries) if after < self.floor else None
-        complete = self.complete
+        complete_revision = self.complete_revision
         if limit is not None:
             count = count_within(entries, limit)
             if count < len(entries):
                 entries = entries[:count]
-                complete = min(complete, entries[-1][1].revision)
-        return Delta(after, complete, self.floor, tuple(entries), names)
+                complete_revision = min(complete_revision, entries[-1][1].revision)
+        return Delta(after, complete_revision, self.floor, tuple(entries), names)
 
     def deleted_by(self, delta: Delta, kept: typing.Container[str] = ()) -> list[str]:
         """Return the keys that a delta's `names` show as deleted, except those in `kept`."""
@@ -109,10 +109,10 @@
         ]
 
     def advance(self, delta: Delta) -> None:
-        """Raise `complete` and `floor` after the entries of `delta` were stored."""
-        if delta.after <= self.complete:
-            self.complete = max(self.complete, delta.complete)
-            self.floor = max(self.floor, min(delta.floor, self.complete))
+        """Raise `complete_revision` and `floor` after the entries of `delta` were stored."""
+        if delta.after <= self.complete_revision:
+            self.complete_revision = max(self.complete_revision, delta.complete_revision)
+            self.floor = max(self.floor, min(delta.floor, self.complete_revision))
         self.trim()
 
     def trim(self) -> None:
@@ -120,11 +120,11 @@
         if len(self.tombstones) > MAX_TOMBSTONES:
             revisions = sorted(self.tombstones.values())
             oldest = revisions[len(revisions) - MAX_TOMBSTONES - 1]
-            self.floor = max(self.floor, min(oldest, self.complete))
+            self.floor = max(self.floor, min(oldest, self.complete_revision))
         for key in [k for k, revision in self.tombstones.items() if revision <= self.floor]:
             self.remove(key)
 
-    def join(self, delta: Delta, kept: typing.Container[str] = ()) -> list[str]:
+    def merge(self, delta: Delta, kept: typing.Container[str] = ()) -> list[str]:
         """Merge a delta or snapshot and return the keys that changed."""
         changed = self.deleted_by(delta, kept)
         for key in changed:
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -132,8 +132,8 @@
     although no watcher can read the newer values.
     """
     stream = state.streams[name]
-    if delta.complete < known_revision(state, name):
-        state.trace("platform_older", stream=name, shown=delta.complete)
+    if delta.complete_revision < known_revision(state, name):
+        state.trace("platform_older", stream=name, shown=delta.complete_revision)
         on_failed(state, name, now)
         return
     stream.call_deadline = 0
--- a/src/ebonystile/core/placing/suspicion.py
+++ b/src/ebonystile/core/placing/suspicion.py
@@ -100,7 +100,7 @@
         """Return whether the peer's results exceed the failure limits."""
         if peer.consecutive_failures >= self.rules.failures:
             return True
-        failures = sum(1 for good in peer.results if not good)
+        failures = sum(1 for success in peer.results if not success)
         return (
             len(peer.results) == self.rules.window
             and failures >= self.rules.failure_share * self.rules.window
@@ -139,7 +139,7 @@
         for peer in self.peers.values():
             if peer.probe_deadline is not None and peer.probe_deadline <= now:
                 self.restart_hold(peer, now)
-        out = sum(1 for p in self.peers.values() if p.probe_deadline is not None)
+        under_way = sum(1 for p in self.peers.values() if p.probe_deadline is not None)
         due = [
             (peer.suspected_until, name)
             for name, peer in self.peers.items()
@@ -147,17 +147,17 @@
             and peer.suspected_until <= now
             and peer.probe_deadline is None
         ]
-        chosen = [name for _, name in sorted(due)[: max(0, self.rules.max_probes - out)]]
+        chosen = [name for _, name in sorted(due)[: max(0, self.rules.max_probes - under_way)]]
         for name in chosen:
             self.peers[name].probe_deadline = now + self.rules.probe_timeout_ms
         return chosen
 
-    def record_probe(self, name: str, good: bool, now: int) -> bool:
+    def record_probe(self, name: str, success: bool, now: int) -> bool:
         """Record the result of a probe; return whether it ended the suspicion."""
         peer = self.peers.get(name)
         if peer is None or peer.suspected_until is None:
             return False
-        if not good:
+        if not success:
             self.restart_hold(peer, now)
             return False
         peer.probe_deadline = None
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -129,7 +129,7 @@
         """Return the faults of every document that is refused now, and names claimed twice."""
         refused = tuple(
             f"{refusal.key} at revision {refusal.revision}: {fault}"
-            for refusal in self.core.configuration.refused
+            for refusal in self.core.configuration.current_refusals
             for fault in refusal.faults
         )
         return refused + tuple(self.core.configuration.conflicts())
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -32,13 +32,13 @@
 
     `platform_confirmed_at` is the latest known time (ms) at which a watcher was answered by the
     platform that nothing newer exists. A `nonce` other than 0 asks for a message back that has it
-    in `answers`.
+    in `answered_nonce`.
     """
 
     KIND: typing.ClassVar[int] = 64
     sender: PackedStatement
     nonce: int
-    answers: int
+    answered_nonce: int
     values: int
     instances: int
     platform_confirmed_at: int
@@ -54,7 +54,7 @@
     nonce: int
     values: int
     instances: int
-    lacking: tuple[tuple[str, int], ...]
+    refused_keys: tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -115,13 +115,13 @@
 
 def make_pull(nonce: int, request: configuration.PullRequest) -> Pull:
     """Return the message for a request."""
-    return Pull(nonce, request.digest.values, request.digest.instances, request.lacking)
+    return Pull(nonce, request.digest.values, request.digest.instances, request.refused_keys)
 
 
 def pull_request_of(pull: Pull) -> configuration.PullRequest:
     """Return the request in a message."""
     return configuration.PullRequest(
-        configuration.Digest(pull.values, pull.instances), tuple(pull.lacking)
+        configuration.Digest(pull.values, pull.instances), tuple(pull.refused_keys)
     )
 
 
@@ -160,7 +160,7 @@
 
 def pack_head(delta: store.Delta) -> PackedDelta:
     """Return a delta without its entries."""
-    return (delta.after, delta.complete, delta.floor, delta.names)
+    return (delta.after, delta.complete_revision, delta.floor, delta.names)
 
 
 def pack_instance(instance: assembly.Instance | None) -> PackedInstance | None:
@@ -201,8 +201,8 @@
     head: PackedDelta, entries: typing.Iterable[tuple[str, store.Entry]]
 ) -> store.Delta:
     """Return a delta from its head and entries."""
-    after, complete, floor, names = head
-    return store.Delta(after, complete, floor, tuple(entries), names)
+    after, complete_revision, floor, names = head
+    return store.Delta(after, complete_revision, floor, tuple(entries), names)
 
 
 def unpack_instance(name: str, packed: PackedInstance | None) -> assembly.Instance | None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -29,14 +29,14 @@
 
 def feed(conf, *values, after=None, complete=None):
     """Apply values of the platform, (key, revision, value) each, and return what changed."""
-    after = conf.values.complete if after is None else after
+    after = conf.values.complete_revision if after is None else after
     complete = max((v[1] for v in values), default=after) if complete is None else complete
     return conf.apply_values(configuration.values_delta(after, complete, values))
 
 
 def list_instances(conf, revision, *instances, gone=()):
     rows = [(i, False) for i in instances] + [(upstream(n), True) for n in gone]
-    after = conf.instances.complete
+    after = conf.instances.complete_revision
     return conf.apply_instances(configuration.instances_delta(after, revision, rows))
 
 
@@ -45,7 +45,7 @@
     view = conf.view
     return (
         {k: e for k, e in conf.values.entries.items() if e.value is not None},
-        conf.refused,
+        conf.current_refusals,
         {n: (s.address, [u.name for u in s.upstreams]) for n, s in view.services.items()},
         {e.name: (e.address, e.leaving) for e in view.endpoints.values()},
     )
@@ -83,13 +83,13 @@
     assert conf.digest.values == 2
     feed(conf, ("services/1", 3, services(photo={"app": "photo"})))
     assert list(conf.view.services) == ["photo"]
-    assert conf.refused == []
+    assert conf.current_refusals == []
 
 
 def test_new_process_gets_the_older_value_of_a_refused_key():
     """A process that starts while the platform has an invalid value must get the valid older one.
 
-    It has the same revision as its peers, so only its list of lacking keys makes them send it.
+    It has the same revision as its peers, so only its list of refused keys makes them send it.
     """
     old = configuration.Configuration()
     feed(old, ("services/1", 1, services(line={"app": "line"})))
@@ -109,10 +109,10 @@
         conf = configuration.Configuration()
         for value in order:
             feed(conf, value, after=0)
-        assert conf.parts.specs.values["line"].selector == (("app", ("one",)),)
+        assert conf.assembly.specs.values["line"].selector == (("app", ("one",)),)
         assert conf.conflicts() == ["line: in services/1 and services/2; services/1 holds"]
     feed(conf, ("services/1", 3, None))
-    assert conf.parts.specs.values["line"].selector == (("app", ("two",)),)
+    assert conf.assembly.specs.values["line"].selector == (("app", ("two",)),)
 
 
 def test_statement_of_an_instance_overrides_the_list():
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -50,7 +50,7 @@
         except errors.PeerError:
             return False, 0
         reply = control.CONTROL.from_items(own.open(answer).body)
-        return reply.caught_up, control.unpack_update(reply.update).values.complete
+        return reply.caught_up, control.unpack_update(reply.update).values.complete_revision
 
     def wait_all(self, entries):
         for entry in entries:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -27,7 +27,7 @@
 
 
 def app_of(node):
-    return node.core.configuration.parts.specs.values["line"].selector[0][1][0]
+    return node.core.configuration.assembly.specs.values["line"].selector[0][1][0]
 
 
 def traced(node, event):
@@ -192,7 +192,7 @@
     late = f.add("late", seeds=["b0", "b1"])
     assert f.run(20 * SECOND, lambda: f.everyone(revision))
     f.run(15 * SECOND)
-    refused = {tuple(n.core.configuration.refused) for n in f.names.values()}
+    refused = {tuple(n.core.configuration.current_refusals) for n in f.names.values()}
     assert len(refused) == 1
     assert [r.key for r in refused.pop()] == ["services/1"]
     assert app_of(late) == "first"
