--- a/src/ebonystile/core/calls/__init__.py
+++ b/src/ebonystile/core/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own calls: flows with tokens, requests at most once, handover."""
+"""Flows with tokens: requests that run at most once, feeds, and handover between sidecars."""
--- a/src/ebonystile/core/calls/balancer.py
+++ b/src/ebonystile/core/calls/balancer.py
@@ -1,7 +1,7 @@
-"""Decide where a balancer sends each datagram. It keeps no state about any flow.
+"""Route callers' datagrams at a balancer, without any state of flows.
 
-Any packet of a flow can arrive at any balancer, and balancers come and go; so the way to the
-flow's home is in the packet itself: in its token or, for an open, in the ranking by its flow id.
+Any packet of a flow may arrive at any balancer, so the packet itself determines its destination:
+by its token or, for an open, by the ranking of the upstreams for its flow id.
 """
 
 import dataclasses
@@ -15,17 +15,17 @@
 from ebonystile.peer import messages
 
 MIN_OPEN_RETRY_MS = 500
-"""Shortest time in ms after which a caller is asked to open again; up to twice that."""
+"""Shortest retry delay of a refused open; jitter adds up to as much."""
 
 RANDOM_START_SHARE = 0.25
-"""Share of packets without a reachable home that start their walk at a random upstream."""
+"""Share of packets whose home is gone that are sent first to a random upstream."""
 
 FROM_CALLER_KINDS = frozenset(caller_messages.FROM_CALLER.by_kind)
 
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """Send a caller's datagram to a sidecar. Not frozen: that doubles the time to make one."""
+    """Send a caller's datagram to a sidecar. Not frozen, which would double its creation time."""
 
     address: view.Address
     forward: messages.Forward
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drop:
-    """Count a datagram that leads nowhere; `reason` is one of a small fixed set."""
+    """Drop a datagram and count it; `reason` is one of a small fixed set."""
 
     reason: str
 
 
 @dataclasses.dataclass(slots=True)
 class Balancer:
-    """What a balancer knows: its own address towards sidecars, and the view in force."""
+    """The state of a balancer; `address` is its own address towards sidecars."""
 
     address: view.Address
     randomness: rng.Rng
@@ -59,12 +59,12 @@
 def make_balancer(
     address: view.Address, randomness: rng.Rng, gate: fairness.Gate | None = None
 ) -> Balancer:
-    """Return a balancer that knows no services yet."""
+    """Return a balancer with an empty view."""
     return Balancer(address, randomness, gate or fairness.Gate(fairness.Bounds()), view.EMPTY)
 
 
 def change_view(balancer: Balancer, newer: view.View) -> bool:
-    """Take a view unless it is older than the one in force; return whether it was taken."""
+    """Use a view unless it is older than the current one; return whether it is used."""
     if newer.revision < balancer.view.revision:
         return False
     balancer.view = newer
@@ -82,7 +82,7 @@
         items = cbor2.loads(payload)
         kind, flow, service_name, token = items[:4]
     except Exception:
-        # Whatever the library raises, the datagram is not one of ours.
+        # The library may raise any exception on malformed input.
         return Drop("malformed")
     if kind not in FROM_CALLER_KINDS or type(flow) is not bytes or type(token) is not bytes:
         return Drop("malformed")
@@ -99,12 +99,12 @@
 def find_sidecar(
     balancer: Balancer, flow: bytes, service_name: str, data: bytes
 ) -> view.Endpoint | Drop:
-    """Return the sidecar that the token names, or one at which to start looking for the flow."""
+    """Return the sidecar that the token names, or the first one to try if that one is gone."""
     if len(data) != view.TOKEN.size:
         return Drop("no_token")
     upstream, _, token_service = view.TOKEN.unpack(data)
     if token_service != view.key_of(service_name):
-        # The home would refuse it too; a token of one service says nothing about another.
+        # The home checks this too.
         return Drop("wrong_service")
     home = balancer.view.endpoints.get(upstream)
     if home is not None:
@@ -116,11 +116,11 @@
 
 
 def first_sidecar(balancer: Balancer, flow: bytes, service: view.Service) -> view.Endpoint:
-    """Return the sidecar to ask first for a flow whose home is gone.
+    """Return the sidecar to try first for a flow whose home is gone.
 
-    The first of the ranking is where most flows are opened, or handed to while loads are not known.
-    If that sidecar has died, every walk that begins there would be lost until the list shows it; so
-    some begin elsewhere.
+    Most flows are opened at the first upstream of their ranking, or handed over to it while loads
+    are unknown. If it is dead, every packet sent there is lost until the list shows it, so some
+    packets start at a random upstream.
     """
     candidates = service.accepting or service.upstreams
     if balancer.randomness.random() < RANDOM_START_SHARE:
@@ -131,10 +131,10 @@
 def route_open(
     balancer: Balancer, caller: view.Address, payload: bytes, items: list, now: int
 ) -> Relay | Reply | Drop:
-    """Send an open to the `attempt`-th of the flow's ranking, so a retry meets another upstream."""
+    """Route an open to the `attempt`-th upstream of the flow's ranking, so retries differ."""
     if len(payload) < caller_messages.OPEN_BYTES or len(items) != 7:
-        # An answer must not be larger than the question, or callers' addresses could be forged to
-        # flood a third party.
+        # Prevents amplification: an answer must not be larger than the open, whose source address
+        # may be forged.
         return Drop("malformed")
     flow, service_name, attempt = items[1], items[2], items[4]
     if type(attempt) is not int or attempt < 0:
@@ -166,7 +166,7 @@
     now: int,
     retry_at: int | None = None,
 ) -> Reply:
-    """Refuse an open, saying when to come back; opening runs nothing, so this is always true."""
+    """Return an `OpenRefused` with the time of a retry."""
     if retry_at is None:
         retry_at = now + int(MIN_OPEN_RETRY_MS * (1 + balancer.randomness.random()))
     refusal = caller_messages.OpenRefused(flow, attempt, reason, retry_at)
--- a/src/ebonystile/core/calls/effects.py
+++ b/src/ebonystile/core/calls/effects.py
@@ -1,4 +1,4 @@
-"""What a core asks its shell to do; the shell carries effects out in their order."""
+"""The effects that a sidecar's core returns; the daemon performs them in order."""
 
 import dataclasses
 import typing
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ToCaller:
-    """Send a datagram to a caller, by way of a balancer."""
+    """Send a datagram to a caller through a balancer."""
 
     balancer: view.Address
     caller: view.Address
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ToSidecar:
-    """Pass a caller's datagram on to another sidecar."""
+    """Forward a caller's datagram to another sidecar."""
 
     address: view.Address
     forward: messages.Forward
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendLoad:
-    """Tell sibling sidecars the load."""
+    """Send a load report to sibling sidecars."""
 
     addresses: tuple[view.Address, ...]
     report: messages.LoadReport
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunRequest:
-    """Hand a request to the upstream unless `deadline` has passed at that very moment.
+    """Send a request to the upstream unless `deadline` has passed by then.
 
-    The shell compares the deadline with its clock just before the first byte is sent: the process
-    may have been paused since the core decided, and a run begun after the deadline could be a
-    second one, since records are dropped some time after it.
+    The daemon checks the deadline just before the first byte is sent, since the process may have
+    been paused meanwhile. A run that starts after the deadline could be a second one: records are
+    dropped some time after it.
     """
 
     key: ledger.Key
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollFeed:
-    """Ask the upstream for the events of a feed that follow `after`."""
+    """Request the events of a feed after `after` from the upstream."""
 
     service: str
     path: str
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendTransfer:
-    """Send a flow, or the question which incarnation runs, to another sidecar."""
+    """Send a flow, or a query for the running incarnation, to another sidecar."""
 
     address: view.Address
     transfer: transfer.Transfer
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerTransfer:
-    """Reply to a sidecar that hands a flow over."""
+    """Reply to a transfer of another sidecar."""
 
     handle: int
     reply: transfer.TransferReply
@@ -84,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trace:
-    """Record an event for logs, counters and the time line."""
+    """Record an event in the logs, the counters and the timeline."""
 
     event: str
     flow: bytes = b""
--- a/src/ebonystile/core/calls/events.py
+++ b/src/ebonystile/core/calls/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a sidecar's core; the shell posts these, in the order it learns of them."""
+"""The events that the daemon posts to a sidecar's core, in their order of arrival."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrived:
-    """A sealed datagram from a balancer or a sibling sidecar has been opened."""
+    """An authenticated datagram from a balancer or a sibling sidecar has arrived."""
 
     forward: messages.Forward
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The upstream gave no answer; `may_have_run` is False only where it surely did not run."""
+    """The upstream gave no answer; `may_have_run` is False only if it certainly did not run."""
 
     key: ledger.Key
     reason: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FeedBatch:
-    """The upstream gave the events of a feed that follow `after`, as (position, body)."""
+    """The upstream returned the events of a feed after `after`, as (position, body)."""
 
     path: str
     after: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FeedFailed:
-    """The upstream gave no events."""
+    """A poll of a feed failed."""
 
     path: str
     reason: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferArrived:
-    """Another sidecar hands a flow over; the reply goes to `handle`."""
+    """Another sidecar has sent a transfer; the reply goes to `handle`."""
 
     handle: int
     transfer: transfer.Transfer
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferFailed:
-    """The target of a handover gave no usable reply; it may have taken the flow all the same."""
+    """The target of a handover gave no valid reply; it may have accepted the flow."""
 
     flow: bytes
     id: bytes
@@ -77,28 +77,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """A newer view is in force; also the sign that a woken process has caught up."""
+    """The view has changed or, after a pause of the process, has been confirmed."""
 
     view: "view.View"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leave:
-    """The upstream is to leave: SIGTERM, its own drain state, the list or a label says so."""
+    """The upstream has to leave, because of SIGTERM or its own drain state."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A sibling sidecar tells its load."""
+    """A sibling sidecar has reported its load."""
 
     report: messages.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamHealth:
-    """The upstream was asked for its health; `ok` is False too where it gave no answer."""
+    """The result of a health check of the upstream; `ok` is False also without an answer."""
 
     ok: bool
     in_slow_start: bool = False
@@ -106,15 +106,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """The upstream claims to have so many requests, running and queued."""
+    """The number of requests, running and queued, that the upstream reports."""
 
     work: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; the shell posts one at least every `TICK_MS`."""
+    """A timer event; the daemon posts one at least every `TICK_MS`."""
 
 
 TICK_MS = 50
-"""Longest time between ticks in a running process, in ms."""
+"""Longest interval between two ticks in a running process."""
--- a/src/ebonystile/core/calls/fairness.py
+++ b/src/ebonystile/core/calls/fairness.py
@@ -1,14 +1,13 @@
-"""Refuse opens early when a balancer itself has too much to do, fairly over services and callers.
+"""Limit the rate of opens at an overloaded balancer, fairly across services and callers.
 
-A balancer that is behind answers everyone late. It therefore takes only as many opens as it can
-carry, and of those each service, and within it each caller, gets a fair share: one that asks for
-less than its share is served whole, one that asks for more is cut to it. The share is found by
-max-min fairness over estimated rates, and the cut is by chance in proportion, as in Stoica, Shenker
-and Zhang, "Core-Stateless Fair Queueing", SIGCOMM 1998. Callers share a bounded number of
-buckets (McKenney, "Stochastic Fairness Queueing", 1990) whose salt changes, so that a caller that
-falls into the bucket of a greedy one is out of it again soon.
+An overloaded balancer answers all its callers late, so it accepts only as many opens as its
+capacity allows. Each service, and each caller within it, gets a max-min fair share of the estimated
+rates, and opens beyond it are refused at random in proportion to the excess (Stoica, Shenker and
+Zhang, "Core-Stateless Fair Queueing", SIGCOMM 1998). Callers are hashed into a bounded number of
+buckets (McKenney, "Stochastic Fairness Queueing", 1990). The hash is salted anew at intervals, so
+that no caller shares a bucket with a greedy one for long.
 
-Times are milliseconds, rates opens a second.
+Times are in ms, rates in opens per second.
 """
 
 import dataclasses
@@ -19,33 +18,33 @@
 from ebonystile.core import rng
 
 MAX_SERVICES = 4096
-"""Most services with a rate of their own: above the 3,300 that are expected."""
+"""Most services with their own rate; further ones share one."""
 
 OTHERS = "*"
-"""The name under which further services share one rate."""
+"""The name under which further services are counted together."""
 
 BUCKETS = 64
-"""Caller buckets of one service."""
+"""Number of caller buckets per service."""
 
 MAX_BUCKETS = 16_384
-"""Most caller buckets of all services; callers beyond them share one bucket a service."""
+"""Most caller buckets of all services; further callers share one bucket per service."""
 
 RESALT = 20_000
-"""Callers change buckets this often (ms)."""
+"""Interval at which callers are hashed into other buckets."""
 
 SHARE_EVERY = 100
-"""The shares are worked out this often (ms)."""
+"""Shortest interval between two computations of the shares."""
 
 MEMORY = 1000.0
-"""Time constant of the rate estimates (ms)."""
+"""Time constant of the rate estimates."""
 
 FADED = 0.01
-"""A rate below this many opens a second is forgotten."""
+"""A rate below this many opens per second is dropped."""
 
 
 @dataclasses.dataclass(slots=True)
 class Rate:
-    """An exponentially averaged rate of opens a second."""
+    """An exponentially averaged rate of opens per second."""
 
     value: float = 0.0
     at: int = 0
@@ -57,12 +56,12 @@
         return self.value
 
     def now(self, now: int) -> float:
-        """Return the rate at this time."""
+        """Return the rate, decayed to time `now`."""
         return self.value * math.exp(-max(0, now - self.at) / MEMORY)
 
 
 def fair_share(rates: list[float], capacity: float) -> float:
-    """Return the share f at which the sum of min(rate, f) is the capacity (infinite if never)."""
+    """Return the share f for which the sum of min(rate, f) is the capacity, or infinity."""
     left = capacity
     for count, rate in enumerate(sorted(rates)):
         share = left / (len(rates) - count)
@@ -74,12 +73,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accept:
-    """The balancer carries this open."""
+    """The open is accepted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The balancer does not carry this open; come back at `retry_at`."""
+    """The open is refused; the caller may retry at `retry_at`."""
 
     reason: str
     retry_at: int
@@ -87,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a balancer carries: opens a second, and how far it may lag behind its inbox (ms)."""
+    """The capacity of a balancer; `lag` is the longest time a packet may wait in its inbox."""
 
     opens_per_second: float = 5000.0
     lag: int = 50
@@ -97,7 +96,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Service:
-    """The rate of one service and of its callers by bucket; `caller_share` is for the latter."""
+    """The rate of a service, and the rates and fair share of its callers by bucket."""
 
     rate: Rate
     callers: dict[int, Rate]
@@ -105,7 +104,7 @@
 
 
 class Gate:
-    """Decide on each open at a balancer."""
+    """Admission control for the opens at a balancer."""
 
     def __init__(self, bounds: Bounds):
         self.bounds = bounds
@@ -119,14 +118,14 @@
         self.forgot_at: int | None = None
 
     def observe(self, lag: int, now: int) -> None:
-        """Take in how long the packet just handled had waited in the inbox, in ms."""
+        """Record how long the last packet waited in the inbox, in ms."""
         self.lag = lag
         self.refresh(now)
 
     def admit(
         self, service: str, caller: str, deadline: int, now: int, chance: rng.Rng
     ) -> Accept | Refuse:
-        """Decide on one open."""
+        """Accept or refuse one open."""
         if now + self.lag >= deadline:
             return self.refuse("would be too late", now, chance)
         self.refresh(now)
@@ -142,7 +141,7 @@
         return Accept()
 
     def entry(self, service: str) -> Service:
-        """Return the record under which the service is counted."""
+        """Return the record of a service, or the shared one beyond `MAX_SERVICES`."""
         if service not in self.services and len(self.services) >= MAX_SERVICES:
             service = OTHERS
         if service not in self.services:
@@ -150,7 +149,7 @@
         return self.services[service]
 
     def caller(self, entry: Service, caller: str, now: int) -> Rate:
-        """Return the rate of the caller's bucket; once there are too many, of a shared one."""
+        """Return the rate of a caller's bucket, or of a shared one beyond `MAX_BUCKETS`."""
         bucket = xxhash.xxh3_64_intdigest(caller.encode(), seed=now // RESALT) % BUCKETS
         if bucket not in entry.callers:
             if self.buckets >= MAX_BUCKETS:
@@ -161,17 +160,17 @@
         return entry.callers[bucket]
 
     def refuse(self, reason: str, now: int, chance: rng.Rng) -> Refuse:
-        """Return a refusal with a time to come back that is spread by chance."""
+        """Return a refusal with a random retry time."""
         bounds = self.bounds
         return Refuse(
             reason, now + int(chance.uniform(bounds.return_soonest, bounds.return_latest))
         )
 
     def refresh(self, now: int) -> None:
-        """Work out the capacity and the shares, at most once in `SHARE_EVERY` ms.
+        """Update the capacity and the shares, at most once per `SHARE_EVERY`.
 
-        The configured capacity is only the operator's guess; the lag shows when it is too high on
-        this machine, so it shrinks while there is lag and grows back slowly.
+        The configured capacity may be too high for this machine, so the effective one shrinks
+        while the inbox lags and grows back slowly.
         """
         if self.shared_at is not None and now - self.shared_at < SHARE_EVERY:
             return
@@ -185,7 +184,7 @@
             self.divide(now)
 
     def divide(self, now: int) -> None:
-        """Work out the share of each service, and of the callers of those that ask for more."""
+        """Compute the share of each service, and of the callers of services that exceed it."""
         rates = [entry.rate.now(now) for entry in self.services.values()]
         self.share = fair_share(rates, self.capacity)
         for entry, rate in zip(self.services.values(), rates, strict=True):
@@ -195,7 +194,7 @@
                 entry.caller_share = fair_share(callers, self.share)
 
     def forget(self, now: int) -> None:
-        """Drop rates that have faded, once in a while, so that the tables hold who asks now."""
+        """Drop rates that have decayed, at most once per `MEMORY`, to bound the tables."""
         if self.forgot_at is not None and now - self.forgot_at < MEMORY:
             return
         self.forgot_at = now
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -1,4 +1,4 @@
-"""Keep feeds flowing: poll the upstream once a feed, deliver each event in order, resend."""
+"""Deliver feeds: poll the upstream once per feed, send events in order, resend lost ones."""
 
 from ebonystile.caller import messages
 from ebonystile.core.calls import effects, events, flows, sidecar_state
@@ -7,11 +7,11 @@
 def on_subscribe(
     state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Subscribe, now: int
 ) -> None:
-    """Start a feed, or take it up where the caller says it stands."""
+    """Start a subscription, or resume it from the position that the caller gives."""
     feed = flow.feeds.get(message.request)
     if feed is None:
         if not state.can_start(flow.service):
-            # The flow is about to move; the caller's next try finds the new home.
+            # The flow is about to move; the caller's next `Subscribe` reaches the new home.
             return
         feed = flows.Feed(message.request, message.path, message.position, message.position)
         flow.feeds[message.request] = feed
@@ -28,7 +28,7 @@
 def ensure_source(
     state: sidecar_state.SidecarState, service: str, path: str, position: int
 ) -> sidecar_state.FeedSource:
-    """Return the polled source of a feed, starting it at `position` if it is new."""
+    """Return the source of a feed; create it at `position` if there is none."""
     source = state.sources.get(path)
     if source is None:
         source = state.sources[path] = sidecar_state.FeedSource(path, service, newest=position)
@@ -38,7 +38,7 @@
 def on_acknowledge(
     state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Acknowledge, now: int
 ) -> None:
-    """Note what the caller has, and send what follows."""
+    """Record the acknowledged position and send the events that follow."""
     feed = flow.feeds.get(message.request)
     if feed is None:
         return
@@ -52,7 +52,7 @@
 
 
 def widen_window(state: sidecar_state.SidecarState, feed: flows.Feed) -> None:
-    """Let twice as many events be under way after a resend, up to the limit."""
+    """Double the window that a resend has reduced, up to the limit."""
     if feed.window is None:
         return
     feed.window *= 2
@@ -63,7 +63,7 @@
 def deliver(
     state: sidecar_state.SidecarState, flow: flows.Flow, feed: flows.Feed, now: int
 ) -> None:
-    """Send the events that follow, in order, up to a window beyond the last acknowledged."""
+    """Send the next events in order, at most a window beyond the acknowledged position."""
     source = state.sources.get(feed.path)
     if source is None:
         return
@@ -79,7 +79,7 @@
 
 
 def on_batch(state: sidecar_state.SidecarState, event: events.FeedBatch, now: int) -> None:
-    """Keep the upstream's events and deliver them."""
+    """Store events from the upstream and send them to the subscribers."""
     source = state.sources.get(event.path)
     if source is None:
         return
@@ -95,10 +95,10 @@
 
 
 def trim_events(state: sidecar_state.SidecarState, source: sidecar_state.FeedSource) -> None:
-    """Keep the events within their bound: drop those that all have, then the newest.
+    """Bound a source's events: drop those that all subscribers have acknowledged, then the newest.
 
-    Dropping the oldest took from a subscriber that had fallen behind just what was fetched for it:
-    its feed stood still for ever. The newest are asked for again once it has caught up.
+    Dropping older events instead would discard those polled for a slow subscriber, which would
+    never catch up. The newest are polled again later.
     """
     over = len(source.events) - sidecar_state.MAX_SOURCE_EVENTS
     if over <= 0:
@@ -112,7 +112,7 @@
 
 
 def on_failed(state: sidecar_state.SidecarState, event: events.FeedFailed, now: int) -> None:
-    """Ask again a little later; subscribers keep their positions meanwhile."""
+    """Schedule another poll of a feed after a failed one."""
     source = state.sources.get(event.path)
     if source is not None:
         source.polling = False
@@ -121,7 +121,7 @@
 
 
 def flows_with_feeds(state: sidecar_state.SidecarState) -> list[flows.Flow]:
-    """Return the flows with feeds that live here, forgetting those that have none any more."""
+    """Return the flows with feeds whose home is here, and drop the ids of other flows."""
     living = []
     for flow_id in list(state.feed_flow_ids):
         flow = state.flows.get(flow_id)
@@ -135,7 +135,7 @@
 def subscribers(
     state: sidecar_state.SidecarState, path: str
 ) -> list[tuple[flows.Flow, flows.Feed]]:
-    """Return the feeds on one path of the flows that live here."""
+    """Return the subscriptions to one path, with their flows."""
     return [
         (flow, feed)
         for flow in flows_with_feeds(state)
@@ -145,7 +145,7 @@
 
 
 def poll(state: sidecar_state.SidecarState, now: int) -> None:
-    """Ask the upstream for what the slowest subscriber of each feed lacks; stop unused ones."""
+    """Poll each feed for what its slowest subscriber lacks; drop feeds without subscribers."""
     for source in list(state.sources.values()):
         if source.polling or source.poll_at > now:
             continue
@@ -161,14 +161,11 @@
 
 
 def resend(state: sidecar_state.SidecarState, now: int) -> None:
-    """Send the first unacknowledged event again, by another balancer each second time.
+    """Resend the first unacknowledged event, through another balancer every second time.
 
-    Its acknowledgement opens the window anew. With all of them sent again each time,
-    callers and balancers that were late for some seconds got 20 times the usual messages, of which
-    nearly all were repeats: that kept them late, and requests and stops waited behind.
-
-    The balancer last heard from may have been killed: everything returned by it is lost, while
-    the caller, which only listens, sends nothing that would show a living one.
+    Only one event is resent, and its acknowledgement reopens the window: resending all of them
+    would keep slow callers and balancers overloaded. The balancer is changed because the flow's
+    last one may be dead, and a caller that only receives events does not reveal another.
     """
     for flow in flows_with_feeds(state):
         for feed in flow.feeds.values():
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -1,7 +1,7 @@
-"""Bound what one upstream is given: slots, a queue, and an early refusal of what would be too late.
+"""Limit the concurrency and the queue of one upstream, and refuse late requests early.
 
-Work that cannot end by its deadline wastes the slot it holds and keeps its caller in doubt, so it
-is refused when it comes, with the time at which to come back. Times are milliseconds.
+A request that cannot end by its deadline would waste a slot and end with an unknown outcome, so it
+is refused on arrival with the time of a retry. Times are in ms.
 """
 
 import bisect
@@ -12,27 +12,27 @@
 from ebonystile.core import rng
 
 Key = typing.Hashable
-"""What names a request: the ledger's key in a sidecar."""
+"""Identifies a request; in a sidecar it is the ledger's key."""
 
 MAX_SERVICES = 64
-"""Most services with an estimate of their own; further ones share one."""
+"""Most services with their own estimate; further ones share one."""
 
 SMOOTHING = 1 / 16
 """Weight of the newest service time in the estimate."""
 
 SHRINK = 0.7
-"""Share of the concurrency that is left when the upstream sheds."""
+"""Factor applied to the concurrency when the upstream sheds a request."""
 
 
 class Order(enum.Enum):
-    """In which order queued requests run."""
+    """The order in which queued requests run."""
 
     FIFO = "fifo"
     DEADLINE = "deadline"
 
 
 class Outcome(enum.Enum):
-    """How a run ended: done, shed by the upstream, or failed before it could tell."""
+    """How a run ended: with an answer, shed by the upstream, or without an answer."""
 
     DONE = "done"
     SHED = "shed"
@@ -41,19 +41,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Hand the request to the upstream now: it holds a slot."""
+    """The request holds a slot and is to be sent to the upstream now."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queue:
-    """The request waits for a slot; `start_by` is when it is expected to get one."""
+    """The request is queued; `start_by` is when it is expected to get a slot."""
 
     start_by: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request was not taken; come back at `retry_at`."""
+    """The request is refused; the caller may retry at `retry_at`."""
 
     reason: str
     retry_at: int
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A queued request that is given up, with its final answer."""
+    """A queued request that is refused."""
 
     key: Key
     answer: Refuse
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promoted:
-    """What became of queued requests: these run now, those are refused."""
+    """The queued requests that start now, and those that are refused."""
 
     run: list[Key]
     refused: list[Refused]
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(order=True, slots=True)
 class Waiting:
-    """A queued request; the order of the queue is that of `rank`."""
+    """A queued request, admitted at `since`; the queue is sorted by `rank`."""
 
     rank: tuple[int, int]
     key: Key = dataclasses.field(compare=False)
@@ -105,23 +105,23 @@
         self.means: dict[str, float] = {}
 
     def learn(self, service: str, took: int) -> None:
-        """Take in one service time."""
+        """Record one service time in ms."""
         if service not in self.means and len(self.means) >= MAX_SERVICES:
             service = ""
         mean = self.means.get(service)
         self.means[service] = took if mean is None else mean + (took - mean) * SMOOTHING
 
     def mean(self, service: str) -> float:
-        """Return the estimate, 0 while there is none."""
+        """Return the estimate of a service, or 0 without one."""
         return self.means.get(service, self.means.get("", 0.0))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one upstream; `adaptive` lets the concurrency shrink while the upstream sheds.
+    """Limits of one upstream; `adaptive` reduces the concurrency while the upstream sheds.
 
-    `return_horizon` is the latest that a refused caller is told to come back, in ms from now, and
-    `return_soonest` the earliest.
+    `return_soonest` and `return_horizon` are the shortest and longest retry delay of a refused
+    caller, in ms.
     """
 
     slots: int = 2
@@ -133,10 +133,10 @@
 
 
 class Limiter:
-    """Slots and queue of one upstream.
+    """The slots and the queue of one upstream.
 
-    Every request that was admitted leaves by exactly one of `finish`, `cancel`, or as refused by
-    `promote` or `refuse_queued`; so slots cannot leak as long as its owner calls one of them.
+    Every admitted request is removed by exactly one of `finish`, `cancel`, `withdraw`, `promote`,
+    `expire` or `refuse_queued`; a request that none of them removes keeps its slot.
     """
 
     def __init__(self, limits: Limits):
@@ -152,14 +152,14 @@
 
     @property
     def open_slots(self) -> int:
-        """Requests that may start now."""
+        """Return how many requests may start now."""
         return max(1, int(self.concurrency)) - len(self.running)
 
     def admit(self, key: Key, service: str, deadline: int, now: int, chance: rng.Rng) -> Verdict:
-        """Decide on a request that is not yet known here.
+        """Start, queue or refuse a request that was not admitted before.
 
-        With a slot open it runs whatever the estimate says: a wrong estimate could otherwise
-        refuse everything and never be corrected by a run.
+        With a free slot it starts whatever the estimate says: a wrong estimate could otherwise
+        refuse every request and would never be corrected.
         """
         if deadline <= now:
             return self.refuse("deadline passed", now, chance)
@@ -177,12 +177,12 @@
         return Queue(start_by)
 
     def rank(self, deadline: int) -> tuple[int, int]:
-        """Return the place in the order of the queue."""
+        """Return the sort key of a new request in the queue."""
         self.sequence += 1
         return (deadline if self.limits.order is Order.DEADLINE else 0, self.sequence)
 
     def wait(self, ahead: int, now: int) -> int:
-        """Return the expected time until a slot is free for one with `ahead` before it, in ms."""
+        """Return the expected wait of a request with `ahead` queued before it, in ms."""
         if self.open_slots > ahead:
             return 0
         remaining = 0.0
@@ -193,12 +193,11 @@
         return int(remaining / max(1, int(self.concurrency)))
 
     def refuse(self, reason: str, now: int, chance: rng.Rng) -> Refuse:
-        """Return a refusal whose `retry_at` gives each caller a time of its own.
+        """Return a refusal whose `retry_at` prevents synchronized retries.
 
-        Callers refused together would come back together and be refused again (a retry storm in
-        step). Each is given the next place on a time line that moves on at the rate at which the
-        upstream ends requests, so they return at about the rate that can be served; beyond the
-        horizon they are spread over it by chance.
+        Refused callers get consecutive retry times, spaced by the expected time per request, so
+        that they return at about the rate that the upstream serves. Once these times reach the
+        longest delay, retries are spread at random over the whole interval.
         """
         mean = max((self.estimates.mean(s.service) for s in self.running.values()), default=0.0)
         step = max(mean, 1.0) / max(1, int(self.concurrency))
@@ -211,7 +210,7 @@
         return Refuse(reason, int(self.next_return + chance.uniform(0, step)))
 
     def promote(self, now: int, chance: rng.Rng) -> Promoted:
-        """Start queued requests while slots are open; refuse those that are too late already."""
+        """Start queued requests while slots are free; refuse those past their deadline."""
         promoted = Promoted([], self.expire(now, chance))
         while self.queue and self.open_slots > 0:
             waiting = self.queue.pop(0)
@@ -220,7 +219,7 @@
         return promoted
 
     def expire(self, now: int, chance: rng.Rng) -> list[Refused]:
-        """Give up the queued requests whose deadline has passed."""
+        """Remove and refuse the queued requests past their deadline."""
         late = [w for w in self.queue if w.deadline <= now]
         if late:
             self.queue = [w for w in self.queue if w.deadline > now]
@@ -233,13 +232,13 @@
         chance: rng.Rng,
         services: typing.Container[str] | None = None,
     ) -> list[Refused]:
-        """Give up everything queued (of the named services), as a leaving upstream does."""
+        """Remove and refuse the queued requests of the services, or of all services if None."""
         queued = [w for w in self.queue if services is None or w.service in services]
         self.queue = [w for w in self.queue if not (services is None or w.service in services)]
         return [Refused(w.key, self.refuse(reason, now, chance)) for w in queued]
 
     def finish(self, key: Key, outcome: Outcome, now: int) -> bool:
-        """Free the slot of a run that ended; tell whether it held one."""
+        """Free the slot of a run that ended; return whether it held one."""
         started = self.running.pop(key, None)
         if started is None:
             return False
@@ -253,7 +252,7 @@
         return True
 
     def shrink(self, started: Started, now: int) -> None:
-        """Lower the concurrency, once for all the runs that were under way together.
+        """Reduce the concurrency, once for all runs that started before the last reduction.
 
         Additive increase, multiplicative decrease (Chiu and Jain, 1989).
         """
@@ -265,11 +264,11 @@
         self.concurrency = max(1.0, self.concurrency * SHRINK)
 
     def cancel(self, key: Key) -> bool:
-        """Free the slot or the place in the queue; tell whether the request held one."""
+        """Free the slot or the place in the queue; return whether the request had one."""
         return self.running.pop(key, None) is not None or self.withdraw(key)
 
     def withdraw(self, key: Key) -> bool:
-        """Free the place in the queue; tell whether the request waited there."""
+        """Remove a request from the queue; return whether it was queued."""
         kept = [w for w in self.queue if w.key != key]
         held = len(kept) < len(self.queue)
         self.queue = kept
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -1,4 +1,4 @@
-"""Give a flow a home here, or pass the open on to a sibling."""
+"""Handle opens: become the flow's home, or forward the open to another sidecar."""
 
 from ebonystile.caller import messages as caller_messages
 from ebonystile.core import view
@@ -6,13 +6,13 @@
 from ebonystile.peer import messages
 
 MIN_OPEN_RETRY_MS = 250
-"""Shortest time, in ms, after which a caller is asked to open again; up to twice that."""
+"""Shortest retry delay of a refused open; jitter adds up to as much."""
 
 INCARNATION_BYTES = 8
 
 
 def new_incarnation(state: sidecar_state.SidecarState) -> int:
-    """Return the number of a new home; nobody can guess it."""
+    """Return a random number that identifies a new home and cannot be guessed."""
     return int.from_bytes(state.randomness.randbytes(INCARNATION_BYTES))
 
 
@@ -22,7 +22,7 @@
     message: caller_messages.Open,
     now: int,
 ) -> None:
-    """Answer an open with a token, here or at a sibling; repeating it changes nothing."""
+    """Accept, forward or refuse an open; a repeated one gets the same token again."""
     flow = state.flows.get(message.flow)
     if flow is not None and flow.service == message.service:
         flow.caller = forward.caller
@@ -71,7 +71,7 @@
 
 
 def send_opened(state: sidecar_state.SidecarState, flow: flows.Flow, attempt: int) -> None:
-    """Tell the caller its token. The answer is no larger than the open that asked."""
+    """Send the caller its token; the answer is no larger than the open."""
     opened = caller_messages.Opened(
         flow.id, flow.token, attempt, flow.lease_until, flow.honoured_incarnations
     )
--- a/src/ebonystile/core/calls/progress.py
+++ b/src/ebonystile/core/calls/progress.py
@@ -1,15 +1,15 @@
-"""Hold what a caller knows of the requests and feeds of one flow, and how each request ended."""
+"""The caller's records of the requests and subscriptions of a flow."""
 
 import dataclasses
 import enum
 
 FIRST_RESEND_MS = 200
-"""Time in ms until the first resend; each later one waits twice as long, up to the limit."""
+"""Delay of the first resend; it doubles with each later one, up to a limit."""
 
 UNKNOWN_FLOW_LIMIT = 3
-"""How many times a flow must be called unknown, a resend apart, before the caller believes it.
+"""Number of resends answered with `UnknownFlow` after which the caller reopens the flow.
 
-Views reach the sidecars at different times, so one walk may miss a home that the next finds.
+Views reach the sidecars at different times, so one attempt may miss a home that the next finds.
 """
 
 
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """The final word on a request: an answer, or why there is none and when to come back."""
+    """The outcome of a request: an answer, or the reason for none and the time of a retry."""
 
     request: bytes
     outcome: Outcome
@@ -35,17 +35,17 @@
 
 @dataclasses.dataclass(slots=True)
 class UnknownFlowCount:
-    """How often a flow was called unknown, and when the next time counts (ms).
+    """The number of resends answered with `UnknownFlow`; the next counts from `next_at` (ms) on.
 
-    All parts of an upload take one walk at the same moment. Were each of its answers counted, one
-    sidecar with an old view would make the caller leave a home that lives.
+    Each part of an upload is answered. If every answer counted, a single sidecar with a stale view
+    could make the caller leave a live home.
     """
 
     count: int = 0
     next_at: int = 0
 
     def record(self, now: int) -> bool:
-        """Count a walk, if it is a resend after the last one; return whether to believe it."""
+        """Count an `UnknownFlow` that answers a new resend; return whether the limit is reached."""
         if now >= self.next_at:
             self.count += 1
             self.next_at = now + FIRST_RESEND_MS
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingRequest:
-    """A request under way."""
+    """A request without an outcome."""
 
     id: bytes
     path: str
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Subscription:
-    """A feed the caller follows; `position` is the last event delivered.
+    """A subscription to a feed; `position` is the last event delivered.
 
     `ahead` holds events that came before an earlier one, which took a slower balancer.
     """
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -1,4 +1,4 @@
-"""Exchange loads with the sibling sidecars, and pass opens to them by load."""
+"""Exchange load reports with sibling sidecars, and choose siblings for opens and handovers."""
 
 import dataclasses
 
@@ -24,7 +24,7 @@
 
 
 def report_load(state: sidecar_state.SidecarState, now: int) -> None:
-    """Tell the siblings the load if it is time to."""
+    """Send a load report to the siblings if one is due."""
     balance = state.balance
     if not balance.receivers or not balance.reporter.can_report(now, bool(state.leaving_reason)):
         return
@@ -34,9 +34,9 @@
 
 
 def on_view(state: sidecar_state.SidecarState) -> None:
-    """Work out whom to report to, and forget who is no sibling any more.
+    """Update the receivers of load reports, and drop the loads of former siblings.
 
-    Leaving siblings are told too: they pass every open on and need to know where to.
+    Leaving siblings get reports too, since they forward every open by load.
     """
     balance = state.balance
     names: set[str] = set()
@@ -51,15 +51,16 @@
 
 
 def on_load_report(state: sidecar_state.SidecarState, event: events.LoadReported, now: int) -> None:
-    """Take a sibling's report."""
+    """Record a sibling's load report."""
     state.balance.table.record_report(event.report, now)
 
 
 def on_health(state: sidecar_state.SidecarState, event: events.UpstreamHealth, now: int) -> None:
-    """Take what the upstream says of its health, or its silence.
+    """Record the result of a health check of the own upstream.
 
-    A good word only counts as the answer to a probe of a suspected upstream; otherwise what its
-    requests show is better evidence. A new cold spell starts the ramp anew.
+    A good result counts only as the answer to a probe of a suspected upstream; otherwise the
+    results of requests are better evidence. When the upstream reports slow start again, its ramp
+    restarts.
     """
     balance = state.balance
     if event.in_slow_start and not balance.is_cold:
@@ -75,7 +76,7 @@
 
 
 def record_result(state: sidecar_state.SidecarState, good: bool, now: int) -> None:
-    """Note how a request or a check of the upstream went."""
+    """Record the result of a request or a health check of the own upstream."""
     if good:
         state.balance.suspicion.record_success(state.name, now)
     elif state.balance.suspicion.record_failure(state.name, now):
@@ -83,7 +84,7 @@
 
 
 def suspected(state: sidecar_state.SidecarState, now: int) -> tuple[str, ...]:
-    """Return who is suspected: the own upstream, and siblings that have fallen silent."""
+    """Return the names of the own upstream if suspected, and of unresponsive siblings."""
     silent = [
         name
         for name, sibling in list(state.balance.table.siblings.items())
@@ -99,11 +100,11 @@
     message: caller_messages.Open,
     now: int,
 ) -> view.Endpoint | None:
-    """Return the sibling that should take an open, or None to keep it or to walk the ranking.
+    """Return the sibling to forward an open to, or None to accept it here or follow the ranking.
 
-    Two sidecars that each believe the other idle would hand an open to and fro, and its caller
-    would wait. So it never comes back to one that has passed it on, and is passed a few times at
-    most; the second and third pass mend what an old report got wrong.
+    Two sidecars with stale reports could forward an open back and forth, so it never returns to a
+    visited sidecar, and the number of passes is limited. More than one pass corrects a choice that
+    was based on a stale report.
     """
     if (
         len(forward.visited) >= state.balance.policy.max_passes
@@ -129,11 +130,10 @@
 def least_loaded(
     state: sidecar_state.SidecarState, choices: list[view.Endpoint], now: int
 ) -> view.Endpoint | None:
-    """Return the choice that holds the fewest flows for its weight, and count one more there.
+    """Return the choice with the fewest flows for its weight, and count one more flow there.
 
-    Only those whose load is known and that may take a flow are compared; None if there are none.
-    Flows sent since the last report count, so one process cannot crowd one sibling; of several
-    processes that leave at once, each adds at most the share that it would fill alone.
+    Only choices with a known load and free capacity are compared; None if there are none. Flows
+    sent since the last report count, so that one process does not overload one sibling.
     """
     table = state.balance.table
     candidates = [
