--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -118,7 +118,7 @@
         self.on_change()
         self.make_next_call()
 
-    def add_source(self, address: view.Address) -> None:
+    def add_announced(self, address: view.Address) -> None:
         """Add a sidecar as a source, and read from it at once if there is no view yet.
 
         A process that starts during an outage of the store has no other source than its seeds.
@@ -204,8 +204,8 @@
     def forget_missing(self, prefix: str, names: abc.Iterable[str]) -> list[str]:
         """Remove from the relay the names that the list just read lacks, and return them.
 
-        A relay's list may be older than what this process has read before, so names with a later
-        revision are kept: a new upstream would be dropped, or the drain of a zone ended.
+        A relay's list may be older than what this process has already read. Names changed after it
+        are kept, so that no new upstream is dropped and no new drain ended.
         """
         gone = []
         for name in names:
--- a/src/ebonystile/carrier/pages.py
+++ b/src/ebonystile/carrier/pages.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """An HTTP response; `kind` is its content type."""
+    """An HTTP response."""
 
     status: int
     body: bytes = b""
--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -187,18 +187,18 @@
     return (status.st_mtime_ns, status.st_size)
 
 
-def do_send(effect: effects.Send, shell: Shell) -> None:
+def handle_send(effect: effects.Send, shell: Shell) -> None:
     """Send a message to another process."""
     loop.send(shell.peer_socket, carrying.pack(effect.message), effect.address)
 
 
-def do_reset(effect: effects.Reset, shell: Shell) -> None:
+def handle_reset(effect: effects.Reset, shell: Shell) -> None:
     """Send a reset to the flow's caller."""
     shell.counts["resets"] += 1
     shell.send_to_caller(packets.make_reset(effect.flow, effect.position), effect.flow)
 
 
-def do_trace(effect: effects.Trace, shell: Shell) -> None:
+def handle_trace(effect: effects.Trace, shell: Shell) -> None:
     """Log and count an event of the core; record how long a search took."""
     fields = dict(effect.fields)
     shell.counts[effect.event] += 1
@@ -208,13 +208,13 @@
 
 
 EFFECT_HANDLERS: dict[type, abc.Callable] = {
-    effects.Send: do_send,
+    effects.Send: handle_send,
     effects.ToUpstream: lambda effect, shell: shell.send_to_upstream(effect.raw),
     effects.ToCaller: lambda effect, shell: shell.send_to_caller(
         effect.packet.raw, effect.packet.flow
     ),
-    effects.Reset: do_reset,
+    effects.Reset: handle_reset,
     effects.Reread: lambda effect, shell: shell.feed.schedule_read(effect.version),
-    effects.ReadFrom: lambda effect, shell: shell.feed.add_source(effect.address),
-    effects.Trace: do_trace,
+    effects.ReadFrom: lambda effect, shell: shell.feed.add_announced(effect.address),
+    effects.Trace: handle_trace,
 }
