--- a/benches/control.py
+++ b/benches/control.py
@@ -242,7 +242,7 @@
         made.add(f"b{n}", target.ZONES[n % 9], seeds=seeds[:n])
     for n in range(sidecars):
         made.add(f"u{n}", target.ZONES[n % 9], role="upstream", seeds=seeds)
-    made.run(60_000, lambda: made.everyone(1))
+    made.run(60_000, lambda: made.has_converged(1))
     made.run(8_000)
     return made
 
@@ -317,7 +317,7 @@
     number = made.streams["values"].revision + 1
     document = {"services": {"service-0": target.make_service(number)}}
     revision = made.publish_value("services/000", document)
-    if not made.run(60_000, lambda: made.everyone(revision)):
+    if not made.run(60_000, lambda: made.has_converged(revision)):
         report.progress(f"not in force everywhere within 60 s at {len(made.names)}")
     spans = [in_force(node, revision, made.now) - began for node in alive(made)]
     made.run(4_000)
--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -284,8 +284,8 @@
             event = gossip.PlatformRead(call.stream, delta, False)
         self.at(self.now + 3, self.post, node, event)
 
-    def everyone(self, revision: int) -> bool:
-        """Tell whether a revision is in force at every node that is alive."""
+    def has_converged(self, revision: int) -> bool:
+        """Return whether a revision is in force at every node that is alive."""
         return all(
             node.may_act and node.core.configuration.digest.values >= revision
             for node in self.names.values()
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -63,7 +63,7 @@
     def make_report(
         self, name: str, incarnation: int, zone: str, slots: limits.Limiter, flows: int, now: int
     ) -> messages.LoadReport:
-        """Return the observed load; `connections` and `leaving` are left for the caller to set."""
+        """Return a report of the observed load, without `connections` and `leaving`."""
         running, queued = len(slots.running), len(slots.queue)
         return messages.LoadReport(
             name=name,
--- a/src/ebonystile/core/placing/load.py
+++ b/src/ebonystile/core/placing/load.py
@@ -3,7 +3,7 @@
 A sidecar sends a `LoadReport` to a bounded set of the other sidecars of its service, about once a
 second and sooner after a large change of its load. A report holds what the sidecar itself observes:
 the flows that it holds and the requests that it runs. Load that the upstream reports can only add
-to that (`Caution`).
+to that (`ReportedLoad`).
 
 Times are in milliseconds. The age of a report is measured from its arrival by the receiver's clock,
 so it does not depend on synchronized clocks.
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -1,6 +1,6 @@
 """Run the control core of a process: its calls of the platform, its messages and its pulls.
 
-The core (`core.spread`) decides in the owner thread. Calls of the platform and pulls over a
+The core (`core.control.gossip`) decides in the owner thread. Calls of the platform and pulls over a
 websocket block, so they run in executors whose callbacks post events; packing and unpacking of
 large updates happens there as well, to keep the packet path free.
 """
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -21,7 +21,7 @@
     f.publish_value("services/1", document("first"))
     for i in range(count):
         f.add(f"b{i}", ZONES[i % 3], seeds=[n for n in ("b0", "b1", "b2") if n in f.names])
-    assert f.run(30 * SECOND, lambda: f.everyone(1))
+    assert f.run(30 * SECOND, lambda: f.has_converged(1))
     f.run(10 * SECOND)
     return f
 
@@ -43,7 +43,7 @@
     f = make_fleet(12, seed=seed, loss=0.1)
     f.kill(*f.watchers()[:-1])
     revision = f.publish_value("services/1", document("second"))
-    assert f.run(10 * SECOND, lambda: f.everyone(revision))
+    assert f.run(10 * SECOND, lambda: f.has_converged(revision))
 
 
 def test_all_watchers_die_and_others_take_over_within_a_bound():
@@ -51,7 +51,7 @@
     f = make_fleet(24)
     f.kill(*f.watchers())
     revision = f.publish_value("services/1", document("second"))
-    assert f.run(20 * SECOND, lambda: f.everyone(revision))
+    assert f.run(20 * SECOND, lambda: f.has_converged(revision))
 
 
 def test_platform_outage_brings_no_storm_of_calls_and_ends_well():
@@ -64,7 +64,7 @@
     assert all(n.may_act for n in f.names.values())
     f.platform_up = True
     revision = f.publish_value("services/1", document("second"))
-    assert f.run(30 * SECOND, lambda: f.everyone(revision))
+    assert f.run(30 * SECOND, lambda: f.has_converged(revision))
 
 
 def test_start_during_an_outage_takes_the_peers_configuration():
@@ -94,7 +94,7 @@
     node = f.add("late", seeds=["b0", "b1"])
     assert f.run(10 * SECOND, lambda: node.may_act)
     assert min(node.in_force_at) == revision
-    assert f.run(20 * SECOND, lambda: f.everyone(revision))
+    assert f.run(20 * SECOND, lambda: f.has_converged(revision))
 
 
 def test_start_alone_takes_the_platforms():
@@ -115,7 +115,7 @@
     assert not any(node.may_act for node in nodes)
     assert all(len(traced(node, "catch_up_waiting")) == 1 for node in nodes)
     f.platform_up = True
-    assert f.run(60 * SECOND, lambda: f.everyone(1))
+    assert f.run(60 * SECOND, lambda: f.has_converged(1))
 
 
 def test_start_turns_to_other_peers_when_the_seeds_are_busy():
@@ -150,7 +150,7 @@
     assert all(app_of(n) == "second" for n in f.names.values() if n not in far)
     for node in far:
         node.group = 0
-    assert f.run(30 * SECOND, lambda: f.everyone(revision))
+    assert f.run(30 * SECOND, lambda: f.has_converged(revision))
     f.run(60 * SECOND)
     assert all(
         a.core.membership.is_usable(b.core.membership.own.name)
@@ -164,7 +164,7 @@
     for index, node in enumerate(f.names.values()):
         node.ceiling = 1 if index % 2 else node.ceiling
     revision = f.publish_value("services/1", document("second"))
-    assert f.run(20 * SECOND, lambda: f.everyone(revision))
+    assert f.run(20 * SECOND, lambda: f.has_converged(revision))
     f.run(60 * SECOND)
     assert all(app_of(node) == "second" for node in f.names.values())
 
@@ -179,7 +179,7 @@
     node.paused_until = f.now + 60 * SECOND
     revision = f.publish_value("services/1", document("second"))
     woken_at = node.paused_until
-    assert f.run(70 * SECOND, lambda: f.everyone(revision))
+    assert f.run(70 * SECOND, lambda: f.has_converged(revision))
     after = [(may_act, shown) for when, may_act, shown in node.acts if when >= woken_at]
     assert not after[0][0], "it must stop before anything else"
     assert after[1] == (True, revision)
@@ -188,9 +188,9 @@
 def test_refused_document_is_refused_everywhere_and_the_older_stays():
     f = make_fleet()
     revision = f.publish_value("services/1", {"services": {"line": {"address": "nowhere"}}})
-    assert f.run(20 * SECOND, lambda: f.everyone(revision))
+    assert f.run(20 * SECOND, lambda: f.has_converged(revision))
     late = f.add("late", seeds=["b0", "b1"])
-    assert f.run(20 * SECOND, lambda: f.everyone(revision))
+    assert f.run(20 * SECOND, lambda: f.has_converged(revision))
     f.run(15 * SECOND)
     refused = {tuple(n.core.configuration.current_refusals) for n in f.names.values()}
     assert len(refused) == 1
@@ -301,7 +301,7 @@
         node.group = 0
     f.names["b0"].ceiling = 1 << 62
     revision = f.publish_value("services/1", document("last"))
-    assert f.run(90 * SECOND, lambda: f.everyone(revision))
+    assert f.run(90 * SECOND, lambda: f.has_converged(revision))
     assert {app_of(node) for node in f.names.values()} == {"last"}
     assert {node.core.configuration.digest for node in f.names.values()} == {
         configuration.Digest(revision, 5)
