--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -46,7 +46,7 @@
         registry.gauge("homes", "Flows whose home is known.", lambda: len(self.core.homes))
         registry.gauge("searches", "Searches under way.", lambda: len(self.core.searches))
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether packets can be served.
 
         A balancer that reaches no sidecar refuses, so that the fabric uses other balancers.
