--- a/benches/policy_model.py
+++ b/benches/policy_model.py
@@ -209,7 +209,7 @@
             queued=queued,
             caution=self.reported_load.excess(running + queued, self.slots, now),
             pending=self.idle_flows.count(now),
-            latency=int(self.limiter.latency),
+            latency=int(self.limiter.mean_latency),
             ramp=self.ramp.share_at(now),
             leaving=self.leaving,
         )
@@ -446,7 +446,7 @@
     def promote(self, node: Node) -> None:
         """Start what waits and answer what is given up."""
         promoted = node.limiter.promote(self.now, self.chance)
-        for key in promoted.run:
+        for key in promoted.started:
             self.start(node, node.waiting.pop(key)[0])
         for each in promoted.refused:
             asked, backoff = node.waiting.pop(each.key)
--- a/src/ebonystile/core/calls/fairness.py
+++ b/src/ebonystile/core/calls/fairness.py
@@ -20,25 +20,25 @@
 MAX_SERVICES = 4096
 """Most services with their own rate; further ones share one."""
 
-OTHERS = "*"
+OTHER_SERVICES = "*"
 """The name under which further services are counted together."""
 
-BUCKETS = 64
+BUCKETS_PER_SERVICE = 64
 """Number of caller buckets per service."""
 
 MAX_BUCKETS = 16_384
 """Most caller buckets of all services; further callers share one bucket per service."""
 
-RESALT = 20_000
+RESALT_INTERVAL_MS = 20_000
 """Interval at which callers are hashed into other buckets."""
 
-SHARE_EVERY = 100
+SHARE_INTERVAL_MS = 100
 """Shortest interval between two computations of the shares."""
 
-MEMORY = 1000.0
+RATE_WINDOW_MS = 1000.0
 """Time constant of the rate estimates."""
 
-FADED = 0.01
+MIN_RATE = 0.01
 """A rate below this many opens per second is dropped."""
 
 
@@ -47,17 +47,17 @@
     """An exponentially averaged rate of opens per second."""
 
     value: float = 0.0
-    at: int = 0
+    updated_at: int = 0
 
     def add(self, now: int) -> float:
         """Count one open and return the rate."""
-        self.value = self.now(now) + 1000.0 / MEMORY
-        self.at = max(now, self.at)
+        self.value = self.decayed(now) + 1000.0 / RATE_WINDOW_MS
+        self.updated_at = max(now, self.updated_at)
         return self.value
 
-    def now(self, now: int) -> float:
+    def decayed(self, now: int) -> float:
         """Return the rate, decayed to time `now`."""
-        return self.value * math.exp(-max(0, now - self.at) / MEMORY)
+        return self.value * math.exp(-max(0, now - self.updated_at) / RATE_WINDOW_MS)
 
 
 def fair_share(rates: list[float], capacity: float) -> float:
@@ -86,16 +86,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """The capacity of a balancer; `lag` is the longest time a packet may wait in its inbox."""
+    """The capacity of a balancer; `max_lag_ms` bounds how long packets wait in its inbox."""
 
     opens_per_second: float = 5000.0
-    lag: int = 50
-    return_soonest: int = 200
-    return_latest: int = 5000
+    max_lag_ms: int = 50
+    min_retry_ms: int = 200
+    max_retry_ms: int = 5000
 
 
 @dataclasses.dataclass(slots=True)
-class Service:
+class ServiceRates:
     """The rate of a service, and the rates and fair share of its callers by bucket."""
 
     rate: Rate
@@ -111,97 +111,100 @@
         self.capacity = bounds.opens_per_second
         self.lag = 0
         self.total = Rate()
-        self.services: dict[str, Service] = {}
-        self.buckets = 0
+        self.services: dict[str, ServiceRates] = {}
+        self.bucket_count = 0
         self.share = math.inf
-        self.shared_at: int | None = None
-        self.forgot_at: int | None = None
+        self.shares_updated_at: int | None = None
+        self.pruned_at: int | None = None
 
     def observe(self, lag: int, now: int) -> None:
         """Record how long the last packet waited in the inbox, in ms."""
         self.lag = lag
-        self.refresh(now)
+        self.update(now)
 
     def admit(
-        self, service: str, caller: str, deadline: int, now: int, chance: rng.Rng
+        self, service: str, caller: str, deadline: int, now: int, randomness: rng.Rng
     ) -> Accept | Refuse:
         """Accept or refuse one open."""
         if now + self.lag >= deadline:
-            return self.refuse("would be too late", now, chance)
-        self.refresh(now)
+            return self.refuse("would be too late", now, randomness)
+        self.update(now)
         self.total.add(now)
-        entry = self.entry(service)
+        entry = self.service_rates(service)
         rate = entry.rate.add(now)
-        caller_rate = self.caller(entry, caller, now).add(now)
+        caller_rate = self.bucket_rate(entry, caller, now).add(now)
         allowed = entry.caller_share / caller_rate
         if entry.caller_share == math.inf:
             allowed = self.share / rate
-        if allowed < 1.0 and chance.random() >= allowed:
-            return self.refuse("balancer overloaded", now, chance)
+        if allowed < 1.0 and randomness.random() >= allowed:
+            return self.refuse("balancer overloaded", now, randomness)
         return Accept()
 
-    def entry(self, service: str) -> Service:
+    def service_rates(self, service: str) -> ServiceRates:
         """Return the record of a service, or the shared one beyond `MAX_SERVICES`."""
         if service not in self.services and len(self.services) >= MAX_SERVICES:
-            service = OTHERS
+            service = OTHER_SERVICES
         if service not in self.services:
-            self.services[service] = Service(Rate(), {})
+            self.services[service] = ServiceRates(Rate(), {})
         return self.services[service]
 
-    def caller(self, entry: Service, caller: str, now: int) -> Rate:
+    def bucket_rate(self, entry: ServiceRates, caller: str, now: int) -> Rate:
         """Return the rate of a caller's bucket, or of a shared one beyond `MAX_BUCKETS`."""
-        bucket = xxhash.xxh3_64_intdigest(caller.encode(), seed=now // RESALT) % BUCKETS
+        bucket = (
+            xxhash.xxh3_64_intdigest(caller.encode(), seed=now // RESALT_INTERVAL_MS)
+            % BUCKETS_PER_SERVICE
+        )
         if bucket not in entry.callers:
-            if self.buckets >= MAX_BUCKETS:
+            if self.bucket_count >= MAX_BUCKETS:
                 bucket = 0
             if bucket not in entry.callers:
                 entry.callers[bucket] = Rate()
-                self.buckets += 1
+                self.bucket_count += 1
         return entry.callers[bucket]
 
-    def refuse(self, reason: str, now: int, chance: rng.Rng) -> Refuse:
+    def refuse(self, reason: str, now: int, randomness: rng.Rng) -> Refuse:
         """Return a refusal with a random retry time."""
         bounds = self.bounds
         return Refuse(
-            reason, now + int(chance.uniform(bounds.return_soonest, bounds.return_latest))
+            reason, now + int(randomness.uniform(bounds.min_retry_ms, bounds.max_retry_ms))
         )
 
-    def refresh(self, now: int) -> None:
-        """Update the capacity and the shares, at most once per `SHARE_EVERY`.
+    def update(self, now: int) -> None:
+        """Update the capacity and the shares, at most once per `SHARE_INTERVAL_MS`.
 
         The configured capacity may be too high for this machine, so the effective one shrinks
         while the inbox lags and grows back slowly.
         """
-        if self.shared_at is not None and now - self.shared_at < SHARE_EVERY:
+        if self.shares_updated_at is not None and now - self.shares_updated_at < SHARE_INTERVAL_MS:
             return
-        self.shared_at = now
-        if self.lag > self.bounds.lag:
+        self.shares_updated_at = now
+        if self.lag > self.bounds.max_lag_ms:
             self.capacity = max(self.capacity * 0.8, self.bounds.opens_per_second / 20)
         else:
             self.capacity = min(self.capacity * 1.05, self.bounds.opens_per_second)
-        self.forget(now)
-        if self.total.now(now) > self.capacity or self.share < math.inf:
-            self.divide(now)
+        self.prune(now)
+        if self.total.decayed(now) > self.capacity or self.share < math.inf:
+            self.compute_shares(now)
 
-    def divide(self, now: int) -> None:
+    def compute_shares(self, now: int) -> None:
         """Compute the share of each service, and of the callers of services that exceed it."""
-        rates = [entry.rate.now(now) for entry in self.services.values()]
+        rates = [entry.rate.decayed(now) for entry in self.services.values()]
         self.share = fair_share(rates, self.capacity)
         for entry, rate in zip(self.services.values(), rates, strict=True):
             entry.caller_share = math.inf
             if rate > self.share:
-                callers = [r.now(now) for r in entry.callers.values()]
+                callers = [r.decayed(now) for r in entry.callers.values()]
                 entry.caller_share = fair_share(callers, self.share)
 
-    def forget(self, now: int) -> None:
-        """Drop rates that have decayed, at most once per `MEMORY`, to bound the tables."""
-        if self.forgot_at is not None and now - self.forgot_at < MEMORY:
+    def prune(self, now: int) -> None:
+        """Drop rates that have decayed, at most once per `RATE_WINDOW_MS`, to bound the tables."""
+        if self.pruned_at is not None and now - self.pruned_at < RATE_WINDOW_MS:
             return
-        self.forgot_at = now
+        self.pruned_at = now
         for name, entry in list(self.services.items()):
-            if entry.rate.now(now) < FADED:
+            if entry.rate.decayed(now) < MIN_RATE:
                 del self.services[name]
                 continue
-            kept = {b: r for b, r in entry.callers.items() if r.now(now) >= FADED}
+            kept = {b: r for b, r in entry.callers.items() if r.decayed(now) >= MIN_RATE}
             entry.callers = kept
-        self.buckets = sum(len(entry.callers) for entry in self.services.values())
+        self.bucket_count = sum(len(entry.callers) for entry in self.services.values())
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -17,10 +17,10 @@
 MAX_SERVICES = 64
 """Most services with their own estimate; further ones share one."""
 
-SMOOTHING = 1 / 16
+ESTIMATE_WEIGHT = 1 / 16
 """Weight of the newest service time in the estimate."""
 
-SHRINK = 0.7
+SHRINK_FACTOR = 0.7
 """Factor applied to the concurrency when the upstream sheds a request."""
 
 
@@ -67,35 +67,35 @@
     """A queued request that is refused."""
 
     key: Key
-    answer: Refuse
+    refusal: Refuse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promoted:
     """The queued requests that start now, and those that are refused."""
 
-    run: list[Key]
+    started: list[Key]
     refused: list[Refused]
 
 
 @dataclasses.dataclass(order=True, slots=True)
-class Waiting:
-    """A queued request, admitted at `since`; the queue is sorted by `rank`."""
+class QueuedRequest:
+    """A queued request; the queue is sorted by `rank`."""
 
     rank: tuple[int, int]
     key: Key = dataclasses.field(compare=False)
     service: str = dataclasses.field(compare=False)
     deadline: int = dataclasses.field(compare=False)
-    since: int = dataclasses.field(compare=False)
+    admitted_at: int = dataclasses.field(compare=False)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """A running request: admitted at `since`, started at `at`."""
+    """A running request; times are in ms."""
 
     service: str
-    at: int
-    since: int
+    started_at: int
+    admitted_at: int
 
 
 class Estimates:
@@ -104,12 +104,12 @@
     def __init__(self) -> None:
         self.means: dict[str, float] = {}
 
-    def learn(self, service: str, took: int) -> None:
+    def record(self, service: str, took: int) -> None:
         """Record one service time in ms."""
         if service not in self.means and len(self.means) >= MAX_SERVICES:
             service = ""
         mean = self.means.get(service)
-        self.means[service] = took if mean is None else mean + (took - mean) * SMOOTHING
+        self.means[service] = took if mean is None else mean + (took - mean) * ESTIMATE_WEIGHT
 
     def mean(self, service: str) -> float:
         """Return the estimate of a service, or 0 without one."""
@@ -120,7 +120,7 @@
 class Limits:
     """Limits of one upstream; `adaptive` reduces the concurrency while the upstream sheds.
 
-    `return_soonest` and `return_horizon` are the shortest and longest retry delay of a refused
+    `min_retry_ms` and `max_retry_ms` are the shortest and longest retry delay of a refused
     caller, in ms.
     """
 
@@ -128,8 +128,8 @@
     queue: int = 16
     order: Order = Order.FIFO
     adaptive: bool = True
-    return_soonest: int = 50
-    return_horizon: int = 10_000
+    min_retry_ms: int = 50
+    max_retry_ms: int = 10_000
 
 
 class Limiter:
@@ -142,37 +142,39 @@
     def __init__(self, limits: Limits):
         self.limits = limits
         self.running: dict[Key, Started] = {}
-        self.queue: list[Waiting] = []
+        self.queue: list[QueuedRequest] = []
         self.estimates = Estimates()
         self.concurrency = float(limits.slots)
         self.shrunk_at: int | None = None
-        self.next_return = 0
+        self.next_retry_at = 0
         self.sequence = 0
-        self.latency = 0.0
+        self.mean_latency = 0.0
 
     @property
-    def open_slots(self) -> int:
+    def free_slots(self) -> int:
         """Return how many requests may start now."""
         return max(1, int(self.concurrency)) - len(self.running)
 
-    def admit(self, key: Key, service: str, deadline: int, now: int, chance: rng.Rng) -> Verdict:
+    def admit(
+        self, key: Key, service: str, deadline: int, now: int, randomness: rng.Rng
+    ) -> Verdict:
         """Start, queue or refuse a request that was not admitted before.
 
         With a free slot it starts whatever the estimate says: a wrong estimate could otherwise
         refuse every request and would never be corrected.
         """
         if deadline <= now:
-            return self.refuse("deadline passed", now, chance)
-        if self.open_slots > 0 and not self.queue:
+            return self.refuse("deadline passed", now, randomness)
+        if self.free_slots > 0 and not self.queue:
             self.running[key] = Started(service, now, now)
             return Run()
         if len(self.queue) >= self.limits.queue:
-            return self.refuse("queue full", now, chance)
-        waiting = Waiting(self.rank(deadline), key, service, deadline, now)
+            return self.refuse("queue full", now, randomness)
+        waiting = QueuedRequest(self.rank(deadline), key, service, deadline, now)
         place = bisect.bisect(self.queue, waiting)
-        start_by = now + self.wait(place, now)
+        start_by = now + self.expected_wait(place, now)
         if start_by + self.estimates.mean(service) > deadline:
-            return self.refuse("would be too late", now, chance)
+            return self.refuse("would be too late", now, randomness)
         self.queue.insert(place, waiting)
         return Queue(start_by)
 
@@ -181,18 +183,18 @@
         self.sequence += 1
         return (deadline if self.limits.order is Order.DEADLINE else 0, self.sequence)
 
-    def wait(self, ahead: int, now: int) -> int:
+    def expected_wait(self, ahead: int, now: int) -> int:
         """Return the expected wait of a request with `ahead` queued before it, in ms."""
-        if self.open_slots > ahead:
+        if self.free_slots > ahead:
             return 0
         remaining = 0.0
         for started in self.running.values():
             mean = self.estimates.mean(started.service)
-            remaining += max(mean - (now - started.at), mean / 4)
+            remaining += max(mean - (now - started.started_at), mean / 4)
         remaining += sum(self.estimates.mean(w.service) for w in self.queue[:ahead])
         return int(remaining / max(1, int(self.concurrency)))
 
-    def refuse(self, reason: str, now: int, chance: rng.Rng) -> Refuse:
+    def refuse(self, reason: str, now: int, randomness: rng.Rng) -> Refuse:
         """Return a refusal whose `retry_at` prevents synchronized retries.
 
         Refused callers get consecutive retry times, spaced by the expected time per request, so
@@ -201,41 +203,41 @@
         """
         mean = max((self.estimates.mean(s.service) for s in self.running.values()), default=0.0)
         step = max(mean, 1.0) / max(1, int(self.concurrency))
-        soonest = now + max(self.limits.return_soonest, self.wait(len(self.queue), now))
-        self.next_return = int(max(self.next_return, soonest) + step)
-        latest = now + self.limits.return_horizon
-        if self.next_return > latest:
-            self.next_return = latest
-            return Refuse(reason, int(chance.uniform(min(soonest, latest), latest)))
-        return Refuse(reason, int(self.next_return + chance.uniform(0, step)))
-
-    def promote(self, now: int, chance: rng.Rng) -> Promoted:
+        soonest = now + max(self.limits.min_retry_ms, self.expected_wait(len(self.queue), now))
+        self.next_retry_at = int(max(self.next_retry_at, soonest) + step)
+        latest = now + self.limits.max_retry_ms
+        if self.next_retry_at > latest:
+            self.next_retry_at = latest
+            return Refuse(reason, int(randomness.uniform(min(soonest, latest), latest)))
+        return Refuse(reason, int(self.next_retry_at + randomness.uniform(0, step)))
+
+    def promote(self, now: int, randomness: rng.Rng) -> Promoted:
         """Start queued requests while slots are free; refuse those past their deadline."""
-        promoted = Promoted([], self.expire(now, chance))
-        while self.queue and self.open_slots > 0:
+        promoted = Promoted([], self.expire(now, randomness))
+        while self.queue and self.free_slots > 0:
             waiting = self.queue.pop(0)
-            self.running[waiting.key] = Started(waiting.service, now, waiting.since)
-            promoted.run.append(waiting.key)
+            self.running[waiting.key] = Started(waiting.service, now, waiting.admitted_at)
+            promoted.started.append(waiting.key)
         return promoted
 
-    def expire(self, now: int, chance: rng.Rng) -> list[Refused]:
+    def expire(self, now: int, randomness: rng.Rng) -> list[Refused]:
         """Remove and refuse the queued requests past their deadline."""
         late = [w for w in self.queue if w.deadline <= now]
         if late:
             self.queue = [w for w in self.queue if w.deadline > now]
-        return [Refused(w.key, self.refuse("deadline passed", now, chance)) for w in late]
+        return [Refused(w.key, self.refuse("deadline passed", now, randomness)) for w in late]
 
     def refuse_queued(
         self,
         reason: str,
         now: int,
-        chance: rng.Rng,
+        randomness: rng.Rng,
         services: typing.Container[str] | None = None,
     ) -> list[Refused]:
         """Remove and refuse the queued requests of the services, or of all services if None."""
         queued = [w for w in self.queue if services is None or w.service in services]
         self.queue = [w for w in self.queue if not (services is None or w.service in services)]
-        return [Refused(w.key, self.refuse(reason, now, chance)) for w in queued]
+        return [Refused(w.key, self.refuse(reason, now, randomness)) for w in queued]
 
     def finish(self, key: Key, outcome: Outcome, now: int) -> bool:
         """Free the slot of a run that ended; return whether it held one."""
@@ -243,8 +245,8 @@
         if started is None:
             return False
         if outcome is Outcome.DONE:
-            self.estimates.learn(started.service, now - started.at)
-            self.latency += (now - started.since - self.latency) / 8
+            self.estimates.record(started.service, now - started.started_at)
+            self.mean_latency += (now - started.admitted_at - self.mean_latency) / 8
             grown = self.concurrency + 1 / max(1.0, self.concurrency)
             self.concurrency = min(float(self.limits.slots), grown)
         elif outcome is Outcome.SHED:
@@ -258,10 +260,10 @@
         """
         if not self.limits.adaptive:
             return
-        if self.shrunk_at is not None and started.at <= self.shrunk_at:
+        if self.shrunk_at is not None and started.started_at <= self.shrunk_at:
             return
         self.shrunk_at = now
-        self.concurrency = max(1.0, self.concurrency * SHRINK)
+        self.concurrency = max(1.0, self.concurrency * SHRINK_FACTOR)
 
     def cancel(self, key: Key) -> bool:
         """Free the slot or the place in the queue; return whether the request had one."""
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -25,7 +25,7 @@
 
 def retry_time(state: sidecar_state.SidecarState, now: int) -> int:
     """Return when a refused caller may retry (ms), with jitter against synchronized retries."""
-    wait = max(MIN_RETRY_MS, state.slots.wait(len(state.slots.queue), now))
+    wait = max(MIN_RETRY_MS, state.slots.expected_wait(len(state.slots.queue), now))
     return now + int(wait * (1 + state.randomness.random()))
 
 
@@ -210,7 +210,7 @@
     """Start queued requests while slots are free; refuse those past their deadline."""
     promoted = state.slots.promote(now, state.randomness)
     send_refusals(state, promoted.refused, now)
-    for key in promoted.run:
+    for key in promoted.started:
         start(state, state.ledger.entries[key], now)
 
 
@@ -220,7 +220,7 @@
     """Refuse requests that were removed from the queue."""
     for each in refused:
         entry = state.ledger.entries[each.key]
-        refuse_unstarted(state, entry, each.answer.reason, now, each.answer.retry_at)
+        refuse_unstarted(state, entry, each.refusal.reason, now, each.refusal.retry_at)
 
 
 def start(state: sidecar_state.SidecarState, entry: ledger.Entry, now: int) -> None:
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -77,7 +77,7 @@
             queued=queued,
             pending=self.idle_flows.count(now),
             caution=self.reported_load.excess(running + queued, slots.limits.slots, now),
-            latency=int(slots.latency),
+            latency=int(slots.mean_latency),
             ramp=self.ramp_share(name, now),
             suspected=self.suspicion.is_suspected(name),
         )
@@ -86,4 +86,4 @@
 def make_limiter(policy: Policy, slots: int, queue: int) -> limits.Limiter:
     """Return the limiter of an upstream that runs no requests yet."""
     bounds = limits.Limits(slots, queue, policy.order, policy.adaptive)
-    return limits.Limiter(dataclasses.replace(bounds, return_horizon=policy.max_retry_ms))
+    return limits.Limiter(dataclasses.replace(bounds, max_retry_ms=policy.max_retry_ms))
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -69,7 +69,7 @@
     assert callers <= fairness.MAX_BUCKETS + fairness.MAX_SERVICES + 1
     gate.observe(0, 60_000)
     assert gate.services == {}
-    assert gate.buckets == 0
+    assert gate.bucket_count == 0
 
 
 def test_fair_share():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -58,7 +58,7 @@
     admit(one, b"d", 3000, 1000)
     one.finish(b"b", limits.Outcome.DONE, 1600)
     promoted = one.promote(1600, CHANCE)
-    assert promoted.run == [b"d"]
+    assert promoted.started == [b"d"]
     assert [r.key for r in promoted.refused] == [b"c"]
 
 
@@ -71,7 +71,7 @@
     admit(one, b"late", 8000, 0)
     admit(one, b"soon", 5000, 0)
     one.finish(b"running", limits.Outcome.DONE, 100)
-    assert one.promote(100, CHANCE).run == [first]
+    assert one.promote(100, CHANCE).started == [first]
 
 
 def test_cancellation_frees_slot_and_place():
@@ -81,7 +81,7 @@
     assert one.cancel(b"b")
     assert type(admit(one, b"c", 9000, 0)) is limits.Queue
     assert one.cancel(b"a")
-    assert one.promote(1, CHANCE).run == [b"c"]
+    assert one.promote(1, CHANCE).started == [b"c"]
     assert not one.cancel(b"a")
     assert not one.finish(b"a", limits.Outcome.DONE, 2)
 
@@ -117,16 +117,16 @@
         admit(one, bytes([i]), 10**6, 0)
     for i in range(8):
         one.finish(bytes([i]), limits.Outcome.SHED, 10)
-    assert one.open_slots == 5, "runs that were under way together shrink it once"
+    assert one.free_slots == 5, "runs that were under way together shrink it once"
     for i in range(200):
         admit(one, b"x", 10**6, 20 + i)
         one.finish(b"x", limits.Outcome.DONE, 21 + i)
-    assert one.open_slots == 8
+    assert one.free_slots == 8
 
 
 def test_estimates_are_bounded():
     estimates = limits.Estimates()
     for i in range(1000):
-        estimates.learn(f"s{i}", 10)
+        estimates.record(f"s{i}", 10)
     assert len(estimates.means) <= limits.MAX_SERVICES + 1
     assert estimates.mean("s999") == 10
--- a/tests/test_tuning.py
+++ b/tests/test_tuning.py
@@ -41,7 +41,7 @@
 
 def test_gate():
     gate = tuning.make_gate(settings.GateSettings(opens_per_second=7, return_soonest_ms=9000))
-    assert (gate.capacity, gate.bounds.return_latest) == (7, 9000)
+    assert (gate.capacity, gate.bounds.max_retry_ms) == (7, 9000)
 
 
 def test_loop_that_does_not_keep_up_shows_a_lag(monkeypatch):
