--- a/tests/carrier/test_processes.py
+++ b/tests/carrier/test_processes.py
@@ -52,6 +52,18 @@
     assert any("event=stop " in line for line in running.lines(balancer))
 
 
+def test_a_balancer_that_reaches_no_sidecar_is_not_ready(running):
+    """The fabric must send callers to other balancers until a sidecar answers again."""
+    balancer = running.balancers[0]
+    for sidecar in running.sidecars:
+        running.kill(sidecar)
+    running.caller(balancer)
+    running.wait(lambda: not running.is_ready(balancer), 5)
+    for sidecar in running.sidecars:
+        running.start(sidecar)
+    running.wait(lambda: running.is_ready(balancer), 10)
+
+
 def test_metrics_count_flows_and_store_reads(running):
     """Both daemons on a flow's path must count its opening and its answer."""
     caller = running.caller(running.balancers[0])
