--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -1,7 +1,8 @@
-"""Put every fault at every step of a day of carried flows, and check what must always hold.
+"""Inject every fault at every step of a scenario of carried flows, and check invariants.
 
-A case is a step, a fault and a seed. It plays the same `Day` on the cores, joined by `world`, and
-the fault strikes when the step happens for the n-th time (n from the seed). Times in ms.
+A case is a step, a fault and a seed. It runs the same `Scenario` on the cores, connected by
+`world`, and the fault is injected when the step happens for the n-th time (n from the seed). Times
+are in ms.
 """
 
 import dataclasses
@@ -14,20 +15,21 @@
 
 PHOTOS_ROUTE = ("198.18.0.2", 443)
 ACTIVE_MS = 4_000
-HEALED_MS = 6_000
-"""After the last fault: longer than any caller waits for a flow that is gone, copies included."""
+RECOVERY_MS = 6_000
+"""Time after the last fault, longer than a caller's timeout for a lost flow with retransmissions.
+"""
 
 CALLERS = 18
-PAUSE_MS = 180
-"""Between a caller's answer and its next request."""
+REQUEST_INTERVAL_MS = 180
+"""Interval at which a caller checks for its answer and sends the next request."""
 
-SEARCH_MS = 1_000
+MAX_SEARCH_MS = 1_000
 """Longest time from a probe of an upstream to the end of the search."""
 
 MOVED_MS = 2_000
 MOVED_UPSTREAMS = 3
-"""A flow counts as moved when this many other upstreams got its packets within `MOVED_MS` and its
-own got none."""
+"""A flow counts as moved if this many upstreams other than its home got its packets within
+`MOVED_MS`, and its home got none."""
 
 PACKET_STEPS = ("first packet", "packet of an open flow", "Open", "Carry", "accepted", "answered")
 QUESTION_STEPS = (
@@ -51,27 +53,27 @@
     "zone drained",
     "zone taken back",
 )
-"""Steps of the day itself."""
+"""Steps that are no messages."""
 
 STEPS = (*MESSAGE_STEPS, *MOMENTS)
 FREQUENT = frozenset({"packet of an open flow", "Carry", "answered"})
 RARE = frozenset({*QUESTION_STEPS, *MOMENTS} - {"Ask", "Answer"})
 
 TEST_SEEDS = 1
-"""Seeds of each cell in the tests; `scripts/fault-matrix` plays more."""
+"""Seeds per cell in the tests; `scripts/fault-matrix` runs more."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One case."""
+    """A fault to be injected at a step, and the seed of the scenario's randomness."""
 
     step: str
     fault: str
     seed: int
 
 
-class Day(world.World):
-    """Callers keep asking while upstreams leave, come and go, and a fault strikes."""
+class Scenario(world.World):
+    """Callers keep sending requests while upstreams change and one fault is injected."""
 
     def __init__(self, case: Case):
         super().__init__(zones=("a", "b", "c"), upstreams=6, balancers=3)
@@ -79,21 +81,21 @@
         self.rng = random.Random(repr(case))
         skips = (0, 3, 9, 20, 40) if case.step in FREQUENT else (0, 0, 1, 2)
         self.skip = 0 if case.step in RARE else self.rng.choice(skips)
-        self.struck = False
-        self.healed = False
-        self.lossy = (None, None)
+        self.injected = False
+        self.faults_ended = False
+        self.lossy_link = (None, None)
         self.lossy_until = 0
-        self.found: list[str] = []
+        self.violations: list[str] = []
         self.ports = iter(range(42_000, 60_000))
-        self.living: list[world.ends.Caller] = []
+        self.active_callers: list[world.ends.Caller] = []
         self.homes: dict[bytes, tuple[world.Node, typing.Any]] = {}
-        self.strayed: dict[bytes, list[tuple[int, str]]] = {}
-        self.reached_at: dict[bytes, int] = {}
-        self.ran: dict[bytes, str] = {}
-        self.asked = 0
-        self.stale: set[tuple[str, int]] = set()
-        self.withheld: dict[tuple[str, int], typing.Any] = {}
-        self.lost_at: dict[tuple[str, int], int] = {}
+        self.misrouted: dict[bytes, list[tuple[int, str]]] = {}
+        self.home_reached_at: dict[bytes, int] = {}
+        self.ran_at: dict[bytes, str] = {}
+        self.request_count = 0
+        self.without_store: set[tuple[str, int]] = set()
+        self.withheld_entries: dict[tuple[str, int], typing.Any] = {}
+        self.entry_lost_at: dict[tuple[str, int], int] = {}
         self.mute_until: dict[str, int] = {}
         self.sidecars[4].upstream.room = 1  # Further opening packets come back.
         for zone in ("a", "b"):
@@ -102,18 +104,18 @@
         self.configure(2, {world.ROUTE: "s", PHOTOS_ROUTE: "photos"})
         self.known()
 
-    # The day
+    # The scenario
 
     def play(self) -> list[str]:
-        """Play the day and return what was found."""
+        """Run the scenario and return the violations found."""
         for number in range(CALLERS):
-            self.later(60 * number, self.begin, number)
+            self.later(60 * number, self.open_flow, number)
         leaver = self.sidecars[1]
         plan = [
-            (800, self.leave, leaver),
+            (800, self.mark_leaving, leaver),
             (1_200, self.move_flows),
             (1_500, self.change_routes),
-            (1_900, self.replace, leaver),
+            (1_900, self.replace_instance, leaver),
             (2_200, self.restart_one),
             (2_500, self.move_flows),
             (2_700, self.restart_all),
@@ -123,14 +125,14 @@
         for delay, *action in plan:
             self.later(delay, *action)
         self.run(ACTIVE_MS)
-        self.heal()
-        self.run(HEALED_MS)
-        self.check_served()
-        self.check_forgotten()
-        return self.found
-
-    def begin(self, number: int) -> None:
-        """Open a flow of one caller; every fifth one sends photos."""
+        self.end_faults()
+        self.run(RECOVERY_MS)
+        self.check_all_served()
+        self.check_no_state_left()
+        return self.violations
+
+    def open_flow(self, number: int) -> None:
+        """Open a flow of a caller; every fifth caller uses the photos route."""
         route = PHOTOS_ROUTE if number % 5 == 4 else world.ROUTE
         zone = "abc"[number % 3]
         flow = world.packet.end_of("100.64.0.7", next(self.ports)) + world.packet.end_of(*route)
@@ -138,142 +140,142 @@
         caller.through = self.balancer_for(zone, number)
         caller.number = number
         self.callers[flow] = caller
-        self.living.append(caller)
-        self.go_on_asking(caller)
+        self.active_callers.append(caller)
+        self.send_next_request(caller)
 
     def balancer_for(self, zone: str, number: int) -> world.Node:
-        """Return a balancer that the fabric hands packets to: a living one, of this zone first."""
+        """Return the balancer that the fabric selects: a running one, preferably of this zone."""
         living = [b for b in self.balancers if b.alive] or self.balancers
         return next((b for b in living if b.zone == zone), living[number % len(living)])
 
-    def go_on_asking(self, caller) -> None:
-        """Ask again once the answer is there; open anew where the flow is over."""
+    def send_next_request(self, caller) -> None:
+        """Send the next request once the last one is answered; replace a flow that has ended."""
         if caller.over:
-            self.living.remove(caller)
-            self.later(100, self.begin, caller.number)
+            self.active_callers.remove(caller)
+            self.later(100, self.open_flow, caller.number)
             return
         if caller.waiting is None:
-            self.asked += 1
+            self.request_count += 1
             caller.asked_at = self.now
-            self.ask(caller, b"q%d" % self.asked)
-        self.later(PAUSE_MS, self.go_on_asking, caller)
+            self.ask(caller, b"q%d" % self.request_count)
+        self.later(REQUEST_INTERVAL_MS, self.send_next_request, caller)
 
-    def moment(self, step: str, node: world.Node) -> None:
-        """Let the fault strike at a step of the day itself."""
-        if step == self.case.step and self.due():
-            self.strike(node)
+    def on_step(self, step: str, node: world.Node) -> None:
+        """Inject the fault if this step is the case's step and it is due."""
+        if step == self.case.step and self.is_due():
+            self.inject(node)
 
-    def spread(self, node: world.Node) -> None:
-        """Let entries reach everybody, each at a time of its own, as watchers and relays do."""
-        self.moment("entry changed", node)
+    def distribute_entries(self, node: world.Node) -> None:
+        """Deliver the entries to every process after a random delay, as watchers and relays do."""
+        self.on_step("entry changed", node)
         for other in self.everyone():
-            self.later(self.rng.randrange(1, 400), self.learn, other)
+            self.later(self.rng.randrange(1, 400), self.update_view, other)
 
-    def learn(self, node: world.Node) -> None:
-        """Let one process know the entries of now, unless it can't hear the store."""
-        if node.alive and node.address not in self.stale and self.now >= node.frozen_until:
+    def update_view(self, node: world.Node) -> None:
+        """Update a process's view to the current entries, unless it is cut off from the store."""
+        if node.alive and node.address not in self.without_store and self.now >= node.frozen_until:
             self.known([node])
 
-    def leave(self, node: world.Node) -> None:
-        """Let an upstream leave by its entry."""
+    def mark_leaving(self, node: world.Node) -> None:
+        """Mark an upstream as leaving in its entry."""
         if node.address in self.entry_of:
             self.entry(node, leaving=True)
-            self.spread(node)
+            self.distribute_entries(node)
 
-    def replace(self, node: world.Node) -> None:
-        """End an upstream with its instance, and start another one elsewhere."""
-        self.end(node)
+    def replace_instance(self, node: world.Node) -> None:
+        """End an instance with its upstream, and start another one at a new address."""
+        self.end_instance(node)
         self.add_upstream(node.zone, "s", slow_start_until=self.now + 500)
         added = self.sidecars[-1]
         added.core.route_table.replace(self.sidecars[0].core.route_table.routes)
-        self.spread(added)
+        self.distribute_entries(added)
 
-    def end(self, node: world.Node) -> None:
-        """End an instance for good, its entry with it."""
+    def end_instance(self, node: world.Node) -> None:
+        """End an instance for good and remove its entry."""
         node.alive = False
         node.upstream.alive = False
         node.gone = True
         self.entry_of.pop(node.address, None)
-        self.withheld.pop(node.address, None)
+        self.withheld_entries.pop(node.address, None)
 
     def change_routes(self) -> None:
-        """Send the photos' new flows to the other service, one process after another."""
+        """Route new flows of the photos route to the other service, process by process."""
         self.allowed[PHOTOS_ROUTE].add("s")
-        self.moment("configuration spread", self.sidecars[0])
+        self.on_step("configuration spread", self.sidecars[0])
         made = {world.ROUTE: "s", PHOTOS_ROUTE: "s"}
         for node in self.everyone():
-            if node.address not in self.stale:
+            if node.address not in self.without_store:
                 self.later(self.rng.randrange(1, 400), self.configure, 3, made, [node])
 
     def configure(self, version: int, by_route, nodes=None) -> None:
-        """Put routes in force at processes that live."""
+        """Put routes in force in these processes, all by default."""
         self.newest = (version, by_route)
         self.set_routes(version, by_route, nodes)
 
     def move_flows(self) -> None:
-        """Let the fabric hand every flow to another balancer."""
+        """Let the fabric send the packets of every flow to another balancer."""
         living = [b for b in self.balancers if b.alive] or self.balancers
-        for caller in self.living:
+        for caller in self.active_callers:
             place = living.index(caller.through) if caller.through in living else 0
             caller.through = living[(place + 1) % len(living)]
-        self.moment("fabric moves flows", living[0])
+        self.on_step("fabric moves flows", living[0])
 
     def change_drained(self, step: str, zones: set[str]) -> None:
-        """Let operators drain these zones and no others, known to each process after a while."""
+        """Drain exactly these zones; each process learns of it after a random delay."""
         self.drained = zones
-        self.spread(self.sidecars[2])
-        self.moment(step, self.sidecars[2])
+        self.distribute_entries(self.sidecars[2])
+        self.on_step(step, self.sidecars[2])
 
     def restart_one(self) -> None:
-        """Restart a sidecar beside its living upstream, as an upgrade does."""
+        """Restart a sidecar while its upstream keeps running, as an upgrade does."""
         node = self.sidecars[2]
         self.restart_process(node)
-        self.moment("sidecar restarted", node)
+        self.on_step("sidecar restarted", node)
 
     def restart_all(self) -> None:
-        """Restart every process: now upstreams must be probed for flows to be found."""
+        """Restart every process, so that flows are found only by probing upstreams."""
         for node in self.everyone():
             self.restart_process(node)
 
     def restart_process(self, node: world.Node) -> None:
-        """Start a process anew, unless its instance is gone."""
+        """Restart a process, unless its instance has ended."""
         if node.gone:
             return
         if isinstance(node.core, balancer.Balancer):
             self.restart_balancer(node)
             node.core.set_view_current(False, self.now)
-            node.core.set_view_current(node.address not in self.stale, self.now)
+            node.core.set_view_current(node.address not in self.without_store, self.now)
         else:
             self.restart_sidecar(node)
-            node.core.is_view_current = node.address not in self.stale
+            node.core.is_view_current = node.address not in self.without_store
 
     # Faults
 
     def delays(self, step: str, origin, target) -> list[int]:
-        """Let the fault of the case have its way with a message."""
+        """Return the delays of a message's copies, changed by the fault if it is due."""
         usual = [world.DELAY_MS]
-        if self.now < self.lossy_until and (origin, target) == self.lossy:
+        if self.now < self.lossy_until and (origin, target) == self.lossy_link:
             return []
-        if step != self.case.step or not self.due():
+        if step != self.case.step or not self.is_due():
             return usual
         if self.case.fault in faults.MESSAGE_FAULTS:
             if self.case.fault == "loss for long":
-                self.lossy, self.lossy_until = (origin, target), self.now + faults.OUTAGE_MS
+                self.lossy_link, self.lossy_until = (origin, target), self.now + faults.OUTAGE_MS
             return faults.MESSAGE_FAULTS[self.case.fault]
         node = self.nodes.get(target) or self.nodes.get(origin) or self.sidecars[0]
-        self.later(0, self.strike, node)
+        self.later(0, self.inject, node)
         return usual
 
-    def due(self) -> bool:
-        """Tell whether this is the occurrence to strike at."""
-        if self.struck or self.healed:
+    def is_due(self) -> bool:
+        """Count an occurrence of the step; return whether the fault is to be injected now."""
+        if self.injected or self.faults_ended:
             return False
         self.skip -= 1
-        self.struck = self.skip < 0
-        return self.struck
+        self.injected = self.skip < 0
+        return self.injected
 
-    def strike(self, node: world.Node) -> None:
-        """Bring the fault about at a process; a message fault needs a message."""
+    def inject(self, node: world.Node) -> None:
+        """Inject the case's process fault at a node."""
         faults.PROCESS_FAULTS[self.case.fault](self, node)
 
     def sidecar_near(self, node: world.Node) -> world.Node:
@@ -287,15 +289,15 @@
         """Return the node if it is a balancer, else one of its zone."""
         return node if node in self.balancers else self.balancer_for(node.zone, 0)
 
-    def heal(self) -> None:
-        """End every fault that still lasts."""
-        self.healed = True
+    def end_faults(self) -> None:
+        """End all faults that are still in effect."""
+        self.faults_ended = True
         self.cuts.clear()
-        self.stale.clear()
+        self.without_store.clear()
         self.mute_until = {name: min(at, self.now) for name, at in self.mute_until.items()}
-        for address, entry in self.withheld.items():
+        for address, entry in self.withheld_entries.items():
             self.entry_of[address] = entry
-        self.withheld.clear()
+        self.withheld_entries.clear()
         for node in self.everyone():
             node.frozen_until = min(node.frozen_until, self.now)
             if not node.alive and not node.gone:
@@ -303,12 +305,12 @@
         self.configure(*self.newest, [n for n in self.everyone() if n.alive])
         self.known([n for n in self.everyone() if n.alive])
 
-    # What is seen at both ends
+    # Checks at upstreams and callers
 
     def at_node(self, origin, target, message):
         node = self.nodes[target]
         if node.alive and self.now < node.frozen_until:
-            # A frozen process finds what came meanwhile in its buffers.
+            # A frozen process handles buffered messages when it resumes.
             self.later(node.frozen_until - self.now, self.at_node, origin, target, message)
             return
         super().at_node(origin, target, message)
@@ -322,118 +324,124 @@
         before = len(node.upstream.ran)
         super().at_upstream(node, raw)
         for request in node.upstream.ran[before:]:
-            self.check_run(node, request)
+            self.check_runs_once(node, request)
         if not shown.opens:
-            self.note_stray(node, shown.flow)
+            self.record_misrouted(node, shown.flow)
 
     def check_opening(self, node, shown) -> None:
-        """Check that an upstream may get this new flow, by what its sidecar knows."""
+        """Check that the upstream may get this new flow, as far as its sidecar can know."""
         route = node.core.route_table.routes.find(shown.flow)
         service = node.core.service
         _, end = world.ends.ends(shown.flow)
         allowed = self.allowed[world.ROUTE if end == MAIN_END else PHOTOS_ROUTE]
         if service not in allowed:
-            self.found.append(f"a flow for {sorted(allowed)} opened at {service}")
+            self.violations.append(f"a flow for {sorted(allowed)} opened at {service}")
         elif node.core.route_table.routes.version == self.newest[0] and (
             route is None or service not in route.services
         ):
-            self.found.append("a flow opened against the newest configuration, which was known")
+            self.violations.append(
+                "a flow opened against the newest configuration, which was known"
+            )
         own = node.core.listed_upstream
         if node.zone in node.core.fleet.drained:
-            self.found.append("a flow opened in a zone that its sidecar knows to be drained")
+            self.violations.append("a flow opened in a zone that its sidecar knows to be drained")
         if own is not None and own.leaving:
-            self.found.append("a flow opened at an upstream that its sidecar knows to be leaving")
+            self.violations.append(
+                "a flow opened at an upstream that its sidecar knows to be leaving"
+            )
 
-    def check_run(self, node, request: bytes) -> None:
-        """Check that a request has run nowhere else."""
-        first = self.ran.setdefault(request, node.upstream.name)
+    def check_runs_once(self, node, request: bytes) -> None:
+        """Check that a request has run at no other upstream."""
+        first = self.ran_at.setdefault(request, node.upstream.name)
         if first != node.upstream.name:
-            self.found.append(f"{request!r} ran at {first} and at {node.upstream.name}")
+            self.violations.append(f"{request!r} ran at {first} and at {node.upstream.name}")
 
-    def note_stray(self, node, flow) -> None:
-        """Check that a flow's packets do not go to several other upstreams and not to its own."""
+    def record_misrouted(self, node, flow) -> None:
+        """Check that a flow's packets do not go to several upstreams without reaching its home."""
         home = self.homes.get(flow)
         if home is None or not self.holds(*home, flow):
             return
         if node is home[0]:
-            self.reached_at[flow] = self.now
+            self.home_reached_at[flow] = self.now
             return
-        recent = [s for s in self.strayed.get(flow, []) if self.now - s[0] < MOVED_MS]
+        recent = [s for s in self.misrouted.get(flow, []) if self.now - s[0] < MOVED_MS]
         recent.append((self.now, node.upstream.name))
-        self.strayed[flow] = recent
+        self.misrouted[flow] = recent
         if len({name for _, name in recent}) >= MOVED_UPSTREAMS:
             self.later(world.DELAY_MS, self.check_moved, flow)
 
     def check_moved(self, flow) -> None:
-        """Note a moved flow, if its own upstream was not probed at the same time."""
-        others = {name for _, name in self.strayed.get(flow, [])}
-        if self.now - self.reached_at.get(flow, 0) >= MOVED_MS:
-            self.found.append(f"a flow's packets went to {len(others)} others, not to its home")
+        """Record a violation unless the flow's home got its packets as well."""
+        others = {name for _, name in self.misrouted.get(flow, [])}
+        if self.now - self.home_reached_at.get(flow, 0) >= MOVED_MS:
+            self.violations.append(
+                f"a flow's packets went to {len(others)} others, not to its home"
+            )
 
     def holds(self, node, accepted, flow) -> bool:
-        """Tell whether the upstream still holds what it accepted."""
+        """Return whether the upstream still holds the flow that it accepted."""
         return node.upstream.alive and node.upstream.flows.get(flow) is accepted
 
     def at_caller(self, raw):
         got = packets.from_upstream(raw)
         caller = self.callers.get(got.flow)
         if caller is not None and got.accepts and not caller.open and not caller.over:
-            self.note_home(got)
+            self.record_home(got)
         if caller is not None and got.aborts and not caller.over:
             self.check_reset(caller)
         super().at_caller(raw)
 
-    def note_home(self, got) -> None:
-        """Remember which upstream's acceptance the caller takes."""
+    def record_home(self, got) -> None:
+        """Record the upstream whose acceptance the caller takes as the flow's home."""
         for node in self.sidecars:
             accepted = node.upstream.flows.get(got.flow)
             if accepted is not None and accepted.position == got.sequence:
                 self.homes[got.flow] = (node, accepted)
 
     def check_reset(self, caller) -> None:
-        """Check that a caller who is told that its flow has ended is told the truth.
+        """Check that a flow is reset only if its home does not hold it.
 
-        A flow is open once its upstream has the end of the handshake. An upstream that takes no
-        packet while its sidecar knows no flows can't be told from one that has lost the flow. A
-        balancer that has started since the entry of an upstream went has never heard of it.
+        A flow is open once its upstream has received the end of the handshake. Two cases are
+        allowed: a mute upstream whose sidecar has no flow table looks like one that has lost the
+        flow, and a balancer that started after an upstream lost its entry does not know it.
         """
         node, accepted = self.homes.get(caller.flow, (None, None))
         if node is None or not accepted.opened:
             return
-        if self.now < self.mute_until.get(node.upstream.name, 0) + SEARCH_MS:
+        if self.now < self.mute_until.get(node.upstream.name, 0) + MAX_SEARCH_MS:
             return
-        if caller.through.core.view_current_since > self.lost_at.get(node.address, self.now):
+        if caller.through.core.view_current_since > self.entry_lost_at.get(node.address, self.now):
             return
         if self.holds(node, accepted, caller.flow):
-            self.found.append(f"reset although {node.upstream.name} holds the flow")
+            self.violations.append(f"reset although {node.upstream.name} holds the flow")
 
-    # At the end
+    # Checks at the end
 
-    def check_served(self) -> None:
-        """Once all faults are over, every caller is answered and new flows open."""
-        for caller in self.living:
-            if caller.waiting is not None and self.now - caller.asked_at > HEALED_MS // 2:
-                self.found.append(f"healed, but flow {caller.number} stays silent")
+    def check_all_served(self) -> None:
+        """Check that after the end of all faults every caller is answered and new flows open."""
+        for caller in self.active_callers:
+            if caller.waiting is not None and self.now - caller.asked_at > RECOVERY_MS // 2:
+                self.violations.append(f"healed, but flow {caller.number} stays silent")
         for place, node in enumerate(self.balancers):
             late = self.caller(61_000 + place, through=node)
             self.run(300)
             if not late.open:
-                self.found.append("healed, but a new flow does not open")
+                self.violations.append("healed, but a new flow does not open")
 
-    def check_forgotten(self) -> None:
-        """Once callers are gone, nothing of their flows is kept."""
+    def check_no_state_left(self) -> None:
+        """Check that no state of flows is kept after their callers have gone."""
         for caller in self.callers.values():
             caller.over = True
-        self.living.clear()
-        self.queue = [item for item in self.queue if item[2] != self.go_on_asking]
+        self.active_callers.clear()
+        self.queue = [item for item in self.queue if item[2] != self.send_next_request]
         self.run(2 * routes.DEFAULT_IDLE_TIMEOUT_MS)
         for node in self.balancers:
             core = node.core
             if core.searches or core.queued or core.homes or core.open_flow_searches:
-                self.found.append("a balancer keeps something of flows that are over")
+                self.violations.append("a balancer keeps something of flows that are over")
         for node in self.sidecars:
             if node.alive and (node.core.table.flows or node.core.pending_probes):
-                self.found.append("a sidecar keeps something of flows that are over")
+                self.violations.append("a sidecar keeps something of flows that are over")
 
 
 MAIN_END = world.packet.end_of(*world.ROUTE)
@@ -442,7 +450,7 @@
 
 
 def applies(step: str, fault: str) -> bool:
-    """Tell whether a fault can befall a step: only a message can be lost, doubled or late."""
+    """Return whether a fault fits a step; message faults fit only steps that are messages."""
     return fault in faults.PROCESS_FAULTS or step in MESSAGE_STEPS
 
 
@@ -457,13 +465,13 @@
 
 
 def play(case: Case) -> tuple[bool, list[str]]:
-    """Play a case; return whether its fault struck, and what was found."""
-    day = Day(case)
-    found = day.play()
-    return day.struck, found
+    """Run a case; return whether its fault was injected, and the violations found."""
+    scenario = Scenario(case)
+    violations = scenario.play()
+    return scenario.injected, violations
 
 
 def faults_of(cases: list[Case]) -> list[str]:
-    """Play cases and return one line for each that found a fault; its seed plays it again."""
-    found = [(case, play(case)[1]) for case in cases]
-    return [f"{case}: {faults}" for case, faults in found if faults]
+    """Run cases and return one line for each with violations; its seed reproduces them."""
+    results = [(case, play(case)[1]) for case in cases]
+    return [f"{case}: {violations}" for case, violations in results if violations]
--- a/tests/carrying/test_matrix_packets.py
+++ b/tests/carrying/test_matrix_packets.py
@@ -1,6 +1,6 @@
-"""Put every fault at each packet of carried flows; see `tests/carrying/matrix.py`.
+"""Inject every fault at each packet of carried flows; see `tests/carrying/matrix.py`.
 
-`scripts/fault-matrix` plays the same cells with more seeds and writes docs/FAULT-MATRIX.md.
+`scripts/fault-matrix` runs the same cells with more seeds and writes docs/FAULT-MATRIX.md.
 """
 
 import pytest
