--- a/benches/policy_model.py
+++ b/benches/policy_model.py
@@ -450,7 +450,7 @@
             self.start(node, node.waiting.pop(key)[0])
         for each in promoted.refused:
             asked, backoff = node.waiting.pop(each.key)
-            self.refused(asked, backoff, each.answer)
+            self.refused(asked, backoff, each.refusal)
 
     def refused(self, asked: Asked, backoff: budget.Backoff, answer: limits.Refuse) -> None:
         """Repeat a refused request when told to, if the budget and the deadline allow."""
