--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -215,6 +215,6 @@
     ),
     effects.Reset: handle_reset,
     effects.Reread: lambda effect, shell: shell.feed.schedule_read(effect.version),
-    effects.ReadFrom: lambda effect, shell: shell.feed.add_announced(effect.address),
+    effects.AddRelay: lambda effect, shell: shell.feed.add_announced(effect.address),
     effects.Trace: handle_trace,
 }
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -304,7 +304,7 @@
 def _(message: messages.Announce, balancer, received, source, now):
     if not message.is_listed:
         announcing.record_unlisted(balancer.fleet, source, now + announcing.SEED_TTL_MS)
-    return [effects.ReadFrom(source)] if message.is_relay else []
+    return [effects.AddRelay(source)] if message.is_relay else []
 
 
 @handle_message.register
--- a/src/ebonystile/core/carrying/effects.py
+++ b/src/ebonystile/core/carrying/effects.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ReadFrom:
+class AddRelay:
     """Add this sidecar to the relays from which the store's contents may be read."""
 
     address: view.Address
@@ -59,7 +59,7 @@
     fields: tuple[tuple[str, typing.Any], ...]
 
 
-Effect = Send | ToUpstream | ToCaller | Reset | Reread | ReadFrom | Trace
+Effect = Send | ToUpstream | ToCaller | Reset | Reread | AddRelay | Trace
 
 
 def trace(event: str, **fields: typing.Any) -> Trace:
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -343,7 +343,7 @@
         if sent.opens:
             if record is None or record.is_held:
                 return []
-            self.table.forget(sent.flow)
+            self.table.remove(sent.flow)
             back = self.make_return(messages.Reason.FULL, sent.raw)
             return [
                 effects.trace("open_returned", flow=packet.flow_text(sent.flow)),
@@ -354,14 +354,14 @@
         if record is not None and record.is_held and not record.is_closed:
             # The upstream has restarted or dropped the flow. Without a reset the caller would
             # retransmit until its timeout.
-            self.table.forget(sent.flow)
+            self.table.remove(sent.flow)
             self.slow_start.record_restart(now)
             age = now - record.opened_at
             return [
                 effects.trace("flow_lost", flow=packet.flow_text(sent.flow), opened_ms_ago=age),
                 effects.Reset(sent.flow, sent.acknowledged),
             ]
-        self.table.forget(sent.flow)
+        self.table.remove(sent.flow)
         if probe is None:
             return []
         return [effects.Send(probe.source, self.make_absent_reply(sent, probe.packet_kept, now))]
@@ -458,7 +458,7 @@
         return sidecar.probe_upstream(received, source, now, packet_kept=False)
     record = sidecar.table.flows[received.flow]
     if record.is_held and not received.aborts and sidecar.has_lost_upstream(record, now):
-        sidecar.table.forget(received.flow)
+        sidecar.table.remove(received.flow)
         return [
             effects.trace(
                 "flow_lost", flow=packet.flow_text(received.flow), reason="upstream_gone"
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -42,9 +42,10 @@
 """Half-life of the failure rate, in ms, so that an upstream without new flows is tried again."""
 
 POSITIONS = 1 << 32
-OFFER_SPAN = 1 << 16
-"""Distance from the upstream's initial sequence number that a caller's first packets acknowledge at
-most."""
+"""Sequence numbers wrap around at this value."""
+
+MAX_OFFER_DISTANCE = 1 << 16
+"""Bound on the distance of first acknowledgements from the upstream's initial sequence number."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -138,11 +139,11 @@
     def add(self, flow: packet.Flow, source: view.Address, now: int) -> FlowRecord:
         """Add a flow; drop the oldest one if the table is full."""
         if len(self.flows) >= MAX_FLOWS:
-            self.forget(next(iter(self.flows)))
+            self.remove(next(iter(self.flows)))
         record = self.flows[flow] = FlowRecord(source, now, now)
         return record
 
-    def forget(self, flow: packet.Flow) -> None:
+    def remove(self, flow: packet.Flow) -> None:
         """Remove a flow and its request, if any."""
         self.flows.pop(flow, None)
         self.busy.pop(flow, None)
@@ -218,7 +219,7 @@
         """Remove flows that ended or were idle for `idle` ms; return how many."""
         over = [flow for flow, record in self.flows.items() if now >= expiry_time(record, idle)]
         for flow in over:
-            self.forget(flow)
+            self.remove(flow)
         return len(over)
 
 
@@ -256,4 +257,4 @@
 
     Two upstreams may accept copies of one opening packet; the caller continues with one of them.
     """
-    return (acknowledged - offered) % POSITIONS < OFFER_SPAN
+    return (acknowledged - offered) % POSITIONS < MAX_OFFER_DISTANCE
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -280,7 +280,7 @@
     source = scene.sidecars[0].address
     offered = messages.Announce(True, True)
     done = scene.balancers[0].core.on_message(offered, None, source, scene.now)
-    assert done == [effects.ReadFrom(source)]
+    assert done == [effects.AddRelay(source)]
 
 
 @pytest.mark.parametrize("role", ["balancer", "sidecar"])
--- a/tests/carrying/test_sourcing.py
+++ b/tests/carrying/test_sourcing.py
@@ -7,27 +7,29 @@
 
 
 def make_fleet(zones=("a", "b", "c"), each=4):
-    known = fleet.Fleet()
+    current_fleet = fleet.Fleet()
     for place, zone in enumerate(zones):
         for number in range(each):
             address = (f"10.{place}.{number // 250}.{number % 250}", 7720)
             name = f"{zone}{number}"
-            known.put(fleet.make_upstream(name, 1, "s", address, zone, 2))
-    return known
+            current_fleet.put(fleet.make_upstream(name, 1, "s", address, zone, 2))
+    return current_fleet
 
 
-def sources_of(known, own, zone="a", seeds=()):
+def make_sources(current_fleet, own, zone="a", seeds=()):
     made = sourcing.Sources(own, zone, seeds)
-    made.refresh(known)
+    made.refresh(current_fleet)
     return made
 
 
 def test_all_processes_select_the_same_watchers():
-    known = make_fleet()
-    everyone = [sources_of(known, u.address, u.zone) for u in known.upstreams.values()]
-    assert sum(s.is_watcher for s in everyone) == 3 * sourcing.MIN_WATCHERS
-    watching = {s.own_address for s in everyone if s.is_watcher}
-    for reader in everyone:
+    current_fleet = make_fleet()
+    all_sources = [
+        make_sources(current_fleet, u.address, u.zone) for u in current_fleet.upstreams.values()
+    ]
+    assert sum(s.is_watcher for s in all_sources) == 3 * sourcing.MIN_WATCHERS
+    watching = {s.own_address for s in all_sources if s.is_watcher}
+    for reader in all_sources:
         assert set(reader.relays) <= watching and reader.own_address not in reader.relays
         if not reader.is_watcher:
             assert reader.choose(True, 0) in watching
@@ -35,26 +37,28 @@
 
 def test_relays_are_recomputed_only_when_the_list_has_changed():
     """Every watch refreshes them, and sorting a large unchanged list each time is expensive."""
-    known = make_fleet()
-    reader = sources_of(known, ("10.9.0.1", 1))
+    current_fleet = make_fleet()
+    reader = make_sources(current_fleet, ("10.9.0.1", 1))
     before = reader.relays
-    reader.refresh(known)
+    reader.refresh(current_fleet)
     assert reader.relays is before
-    known.remove(next(u.name for u in known.upstreams.values() if u.address == before[0]), 0)
-    reader.refresh(known)
+    current_fleet.remove(
+        next(u.name for u in current_fleet.upstreams.values() if u.address == before[0]), 0
+    )
+    reader.refresh(current_fleet)
     assert before[0] not in reader.relays
 
 
 def test_readers_spread_over_the_relays_of_their_zone():
-    known = make_fleet()
-    chosen = [sources_of(known, (f"10.9.0.{n}", 1)).choose(True, 0) for n in range(200)]
+    current_fleet = make_fleet()
+    chosen = [make_sources(current_fleet, (f"10.9.0.{n}", 1)).choose(True, 0) for n in range(200)]
     assert len(set(chosen)) == sourcing.MIN_WATCHERS
     assert min(chosen.count(c) for c in set(chosen)) > 60
 
 
 def test_a_reader_tries_all_relays_and_then_the_store():
     """The relays of a zone may all fail at once, as in a power loss."""
-    reader = sources_of(make_fleet(), ("10.9.0.1", 1))
+    reader = make_sources(make_fleet(), ("10.9.0.1", 1))
     seen = []
     for _ in range(len(reader.relays) + 1):
         source = reader.choose(True, 0)
@@ -66,11 +70,11 @@
 
 
 def test_a_watcher_without_the_store_reads_from_relays_and_tries_the_store_again():
-    known = make_fleet()
+    current_fleet = make_fleet()
     watcher = next(
         s
-        for u in known.upstreams.values()
-        if (s := sources_of(known, u.address, u.zone)).is_watcher
+        for u in current_fleet.upstreams.values()
+        if (s := make_sources(current_fleet, u.address, u.zone)).is_watcher
     )
     assert watcher.choose(True, 0) is sourcing.STORE
     watcher.on_failed(sourcing.STORE, 0)
@@ -86,11 +90,11 @@
 
 
 def test_leaving_sidecars_are_selected_last():
-    known = make_fleet(zones=("a",))
-    before = sources_of(known, ("10.9.0.1", 1)).relays
-    gone = next(u for u in known.upstreams.values() if u.address == before[0])
-    known.put(fleet.make_upstream(gone.name, 1, "s", gone.address, "a", 2, leaving=True))
-    assert before[0] not in sources_of(known, ("10.9.0.1", 1)).relays
+    current_fleet = make_fleet(zones=("a",))
+    before = make_sources(current_fleet, ("10.9.0.1", 1)).relays
+    gone = next(u for u in current_fleet.upstreams.values() if u.address == before[0])
+    current_fleet.put(fleet.make_upstream(gone.name, 1, "s", gone.address, "a", 2, leaving=True))
+    assert before[0] not in make_sources(current_fleet, ("10.9.0.1", 1)).relays
 
 
 def test_the_number_of_relays_grows_with_the_zone():
@@ -98,9 +102,9 @@
 
     Its server closes the oldest connection then, and the readers would reconnect for ever.
     """
-    known = make_fleet(zones=("a",), each=400)
-    everyone = [sources_of(known, u.address) for u in known.upstreams.values()]
-    assert sum(s.is_watcher for s in everyone) == 400 // sourcing.SIDECARS_PER_WATCHER
-    readers = collections.Counter(s.choose(True, 0) for s in everyone if not s.is_watcher)
+    current_fleet = make_fleet(zones=("a",), each=400)
+    all_sources = [make_sources(current_fleet, u.address) for u in current_fleet.upstreams.values()]
+    assert sum(s.is_watcher for s in all_sources) == 400 // sourcing.SIDECARS_PER_WATCHER
+    readers = collections.Counter(s.choose(True, 0) for s in all_sources if not s.is_watcher)
     assert max(readers.values()) < 2 * sourcing.SIDECARS_PER_WATCHER
     assert max(readers.values()) < pages.MAX_CONNECTIONS / 2
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -14,11 +14,11 @@
     """Configure a limit on new flows during the slow start in every process."""
     route = routes.Route("r", (("s", 1),))
     slow_starts = {"s": slow_start}
-    made = routes.make_routes(
+    new_routes = routes.make_routes(
         2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS, slow_starts
     )
     for node in scene.everyone():
-        node.core.route_table.replace(made)
+        node.core.route_table.replace(new_routes)
 
 
 def start_slowly(scene, *nodes):
@@ -115,23 +115,23 @@
 
 
 def test_an_upstream_without_an_entry_counts_as_cold():
-    made = warming.SlowStartTracker()
+    tracker = warming.SlowStartTracker()
     for at in range(MAX_FLOWS_PER_S):
-        assert made.has_capacity(LIMITED, None, 1_000 + at)
-        made.record_opened(1_000 + at)
-    assert not made.has_capacity(LIMITED, None, 2_000)
-    assert made.has_capacity(LIMITED, 0, 2_000)
-    assert made.has_capacity(LIMITED, None, 2_001)
+        assert tracker.has_capacity(LIMITED, None, 1_000 + at)
+        tracker.record_opened(1_000 + at)
+    assert not tracker.has_capacity(LIMITED, None, 2_000)
+    assert tracker.has_capacity(LIMITED, 0, 2_000)
+    assert tracker.has_capacity(LIMITED, None, 2_001)
 
 
 @pytest.mark.parametrize("start", range(0, 1_000, 137))
 def test_the_limit_holds_for_a_sliding_window(start):
     """Fixed windows would admit twice the limit around their boundary."""
-    made = warming.SlowStartTracker()
+    tracker = warming.SlowStartTracker()
     opened = []
     for now in range(start, start + 5_000, 20):
-        if made.has_capacity(LIMITED, now + 1, now):
-            made.record_opened(now)
+        if tracker.has_capacity(LIMITED, now + 1, now):
+            tracker.record_opened(now)
             opened.append(now)
     assert max(sum(at <= t <= at + 1_000 for t in opened) for at in opened) <= MAX_FLOWS_PER_S
     assert len(opened) > 4 * MAX_FLOWS_PER_S
@@ -140,9 +140,9 @@
 def restrict_to_regions(scene, *regions):
     """Restrict the route to regions; zone a lies in north, zone b in south."""
     route = routes.Route("r", (("s", 1),), regions)
-    made = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS)
+    new_routes = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS)
     for node in scene.everyone():
-        node.core.route_table.replace(made)
+        node.core.route_table.replace(new_routes)
         node.core.fleet.regions = {"a": "north", "b": "south"}
 
 
