--- a/src/ebonystile/core/calls/fairness.py
+++ b/src/ebonystile/core/calls/fairness.py
@@ -99,7 +99,7 @@
     """The rate of a service, and the rates and fair share of its callers by bucket."""
 
     rate: Rate
-    callers: dict[int, Rate]
+    caller_rates: dict[int, Rate]
     caller_share: float = math.inf
 
 
@@ -113,7 +113,7 @@
         self.total = Rate()
         self.services: dict[str, ServiceRates] = {}
         self.bucket_count = 0
-        self.share = math.inf
+        self.service_share = math.inf
         self.shares_updated_at: int | None = None
         self.pruned_at: int | None = None
 
@@ -135,7 +135,7 @@
         caller_rate = self.bucket_rate(entry, caller, now).add(now)
         allowed = entry.caller_share / caller_rate
         if entry.caller_share == math.inf:
-            allowed = self.share / rate
+            allowed = self.service_share / rate
         if allowed < 1.0 and randomness.random() >= allowed:
             return self.refuse("balancer overloaded", now, randomness)
         return Accept()
@@ -154,13 +154,13 @@
             xxhash.xxh3_64_intdigest(caller.encode(), seed=now // RESALT_INTERVAL_MS)
             % BUCKETS_PER_SERVICE
         )
-        if bucket not in entry.callers:
+        if bucket not in entry.caller_rates:
             if self.bucket_count >= MAX_BUCKETS:
                 bucket = 0
-            if bucket not in entry.callers:
-                entry.callers[bucket] = Rate()
+            if bucket not in entry.caller_rates:
+                entry.caller_rates[bucket] = Rate()
                 self.bucket_count += 1
-        return entry.callers[bucket]
+        return entry.caller_rates[bucket]
 
     def refuse(self, reason: str, now: int, randomness: rng.Rng) -> Refuse:
         """Return a refusal with a random retry time."""
@@ -183,18 +183,18 @@
         else:
             self.capacity = min(self.capacity * 1.05, self.bounds.opens_per_second)
         self.prune(now)
-        if self.total.decayed(now) > self.capacity or self.share < math.inf:
+        if self.total.decayed(now) > self.capacity or self.service_share < math.inf:
             self.compute_shares(now)
 
     def compute_shares(self, now: int) -> None:
         """Compute the share of each service, and of the callers of services that exceed it."""
         rates = [entry.rate.decayed(now) for entry in self.services.values()]
-        self.share = fair_share(rates, self.capacity)
+        self.service_share = fair_share(rates, self.capacity)
         for entry, rate in zip(self.services.values(), rates, strict=True):
             entry.caller_share = math.inf
-            if rate > self.share:
-                callers = [r.decayed(now) for r in entry.callers.values()]
-                entry.caller_share = fair_share(callers, self.share)
+            if rate > self.service_share:
+                callers = [r.decayed(now) for r in entry.caller_rates.values()]
+                entry.caller_share = fair_share(callers, self.service_share)
 
     def prune(self, now: int) -> None:
         """Drop rates that have decayed, at most once per `RATE_WINDOW_MS`, to bound the tables."""
@@ -205,6 +205,6 @@
             if entry.rate.decayed(now) < MIN_RATE:
                 del self.services[name]
                 continue
-            kept = {b: r for b, r in entry.callers.items() if r.decayed(now) >= MIN_RATE}
-            entry.callers = kept
-        self.bucket_count = sum(len(entry.callers) for entry in self.services.values())
+            kept = {b: r for b, r in entry.caller_rates.items() if r.decayed(now) >= MIN_RATE}
+            entry.caller_rates = kept
+        self.bucket_count = sum(len(entry.caller_rates) for entry in self.services.values())
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -51,7 +51,7 @@
 
 
 def fence(state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
-    """Stop running requests of the flow and begin its transfer, unless requests are pending."""
+    """Fence the flow and begin its transfer, once no request is pending and a target is known."""
     records = state.ledger.of_flow(flow.id)
     if any(entry.state in ledger.PENDING for entry in records):
         return
@@ -193,10 +193,10 @@
 
 
 def may_have_moved(state: sidecar_state.SidecarState, handover: flows.Handover, now: int) -> bool:
-    """Return whether it can no longer be found out if the target has accepted the flow.
+    """Return whether the target may have accepted the flow and can no longer be asked.
 
     Once the transfer may have reached its target, no other sidecar may be tried. Without this
-    check a target that is gone or silent would leave the flow fenced for ever.
+    check a target that is gone or unresponsive would leave the flow in handover for ever.
     """
     if not handover.committed:
         return False
@@ -311,8 +311,8 @@
 def adopt_flow(state: sidecar_state.SidecarState, message: transfer.Transfer, now: int) -> None:
     """Become the flow's home, and merge another home of the same flow on this sidecar into it.
 
-    A fenced one is not merged: its flow may have another home, whose tokens would then be valid
-    at two sidecars.
+    A fenced one is not merged: the flow may have another home elsewhere, and the same tokens would
+    then be valid at two sidecars.
     """
     known = state.flows.get(message.flow)
     if known is not None and known.is_fenced:
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -40,7 +40,7 @@
     if flow is None and state.can_start(message.service) and len(state.flows) < state.limits.flows:
         send_opened(state, accept_flow(state, forward, message, now), message.attempt)
         return
-    if not state.pass_on(forward, message.flow, message.service):
+    if not state.forward_to_next(forward, message.flow, message.service):
         retry_at = now + int(MIN_OPEN_RETRY_MS * (1 + state.randomness.random()))
         reason = "no upstream of the service takes new flows"
         refusal = caller_messages.OpenRefused(message.flow, message.attempt, reason, retry_at)
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -264,7 +264,7 @@
     message: caller_messages.FromCaller,
 ) -> None:
     """Forward a message to the next sidecar, or send `UnknownFlow` if all have been tried."""
-    if state.pass_on(forward, message.flow, message.service):
+    if state.forward_to_next(forward, message.flow, message.service):
         return
     request = getattr(message, "request", b"")
     state.trace("unknown_flow", message.flow, request)
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -150,7 +150,7 @@
         """Return whether new work for the service may start here now."""
         return not self.leaving_reason and self.is_caught_up and service in self.served_services
 
-    def pass_on(self, forward: messages.Forward, flow: bytes, service: str) -> bool:
+    def forward_to_next(self, forward: messages.Forward, flow: bytes, service: str) -> bool:
         """Forward a datagram to the next sidecar of the flow's ranking; False if all were tried.
 
         Upstreams that accept new work come first, since a handover moves a flow to one of them;
--- a/tests/test_call.py
+++ b/tests/test_call.py
@@ -1,4 +1,4 @@
-"""Show each safeguard of a caller's flow at work alone; `scripts/mutants` takes them out."""
+"""Test the safeguards of the caller's state machine; `scripts/mutants` removes them in turn."""
 
 import functools
 
@@ -22,7 +22,7 @@
 
 
 def sent(caller):
-    """Return what the caller has sent since last asked."""
+    """Return the messages that the caller has sent since the last call."""
     outbox = [messages.FROM_CALLER.decode(payload) for payload in caller.outbox]
     caller.outbox.clear()
     return outbox
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("idempotent", [False, True])
 def test_cancelled_request_that_never_arrived_is_not_run(idempotent):
-    """Every copy of a request is late; its caller cancels it and hears "not run" at once."""
+    """A cancelled request whose copies all arrive late must not run or stay without an outcome."""
     wire = wires.make_service(count=2)
     caller = wire.add_caller()
     wire.run(200)
@@ -46,14 +46,14 @@
 
 
 def test_flow_whose_lease_has_ended_is_opened_anew_before_a_request_needs_it():
-    """The caller slept for longer than the lease. Its next demand must not end in doubt."""
+    """After a pause of the caller longer than the lease, a request must not end as unknown."""
     wire = wires.make_service(count=2, flow_lease=3_000)
     caller = wire.add_caller()
     wire.run(200)
-    asleep = dict(wire.callers)
+    paused = dict(wire.callers)
     wire.callers.clear()
     wire.run(10_000)
-    wire.callers.update(asleep)
+    wire.callers.update(paused)
     wire.run(2_000)
     assert caller.reopen_count == 1
     request = caller.request("report", b"r", wire.now + 9_000, False, wire.now)
@@ -92,11 +92,10 @@
     assert [(e.position, e.body) for e in caller.events] == [(1, b"1"), (2, b"2"), (3, b"3")]
 
 
-def test_one_walk_that_finds_no_home_is_not_believed():
-    """Views differ for a moment, and one walk misses the home; the request runs there.
+def test_one_search_without_a_home_does_not_end_a_request():
+    """A single search that misses the home, as views differ, must not end a request that runs.
 
-    All parts of an upload take that walk at once, and each is answered that the flow is unknown:
-    that is still one moment. Only walks a resend apart tell that the home is lost.
+    Each part of an upload gets an `UnknownFlow`; they must count as one.
     """
     caller = caller_with_token()
     request = caller.request("r", bytes(50_000), NOW + 9_000, False, NOW)
@@ -112,7 +111,7 @@
 
 @pytest.mark.parametrize("token", [b"", b"short", bytes(99)])
 def test_answer_with_a_foreign_token_changes_nothing(token):
-    """Something answers an open with what is no token; the caller's flow goes on."""
+    """A malformed token in an answer must not replace the flow's token."""
     caller = caller_with_token()
     before = caller.token
     caller.receive(messages.Opened(caller.flow, token, 1, NOW + 9_000, ()), NOW)
@@ -136,8 +135,8 @@
     ]
 
 
-def test_silence_does_not_end_a_request_that_only_its_home_can_settle():
-    """The home is cut off for longer than the silence limit, and then gives its answer."""
+def test_home_timeout_does_not_end_a_request_that_may_have_run():
+    """A partition longer than the home timeout must not end a request that may have run."""
     caller = caller_with_token()
     caller.subscribe("spans", 0, NOW)
     caller.request("r", b"", NOW + 20_000, False, NOW)
@@ -147,12 +146,10 @@
     assert caller.outcomes == []
 
 
-def test_repeated_parts_of_a_large_answer_ask_for_no_more():
-    """On a busy machine a caller asks again for parts that are on their way; all of them arrive.
+def test_repeated_parts_of_a_large_answer_trigger_no_fetch():
+    """Repeated parts of an answer must not trigger further fetches, which would multiply them.
 
-    It has a whole window of the answer then and asks once for the next. If every repeat asked as
-    well, each would bring a window, whose repeats would ask again: balancers carry 20 times the
-    usual messages then and stay seconds behind.
+    After a whole window, repeated or not, the caller fetches the next one once.
     """
     caller = caller_with_token()
     request = caller.request("large", b"", NOW + 9_000, True, NOW)
@@ -162,6 +159,6 @@
     caller.outbox.clear()
     for number in (*range(messages.WINDOW), *range(messages.WINDOW)):
         caller.receive(part(part=number, body=b"x"), NOW + 50)
-    sent = [messages.FROM_CALLER.decode(payload) for payload in caller.outbox]
-    assert [type(message) for message in sent] == [messages.Fetch]
-    assert sent[0].parts == tuple(range(messages.WINDOW, 2 * messages.WINDOW))
+    fetches = [messages.FROM_CALLER.decode(payload) for payload in caller.outbox]
+    assert [type(message) for message in fetches] == [messages.Fetch]
+    assert fetches[0].parts == tuple(range(messages.WINDOW, 2 * messages.WINDOW))
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -1,4 +1,4 @@
-"""Show that no mishap around a handover makes two homes, loses a flow or closes it."""
+"""Test that faults during a handover neither create two homes nor lose or close a flow."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def run_until(wire, condition, within=20_000):
-    assert wire.run(within, condition), "it did not come about in time"
+    assert wire.run(within, condition), "the condition was not met in time"
 
 
 def home_of(wire, caller):
@@ -36,12 +36,10 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_move_of_an_idle_second_home_does_not_take_the_caller_along(seed):
-    """The caller opens twice; its request runs at the second home when the idle first one leaves.
+def test_handover_of_an_idle_second_home_does_not_change_the_callers_token(seed):
+    """The handover of an idle second home must not change the caller's token.
 
-    The idle home is handed over and its new home tells the caller a token. If the caller took it,
-    its next copy of the request would reach a home that knows nothing, and the request would run
-    twice.
+    With that token a copy of the request would reach a home without its record and run twice.
     """
     wire = wires.make_service(count=3, seed=seed)
     caller, home, idle = opened_twice(wire)
@@ -57,10 +55,7 @@
 
 @pytest.mark.parametrize("kind", ["Opened", "Return"])
 def test_late_answer_to_an_open_does_not_close_the_moved_flow(kind):
-    """The answer to an open comes again, late, after the flow has been handed over.
-
-    The caller must not take it for a second home and close the flow that it still uses.
-    """
+    """A late copy of `Opened` after a handover must not make the caller close its flow."""
     wire = wires.make_service(count=2)
     wire.judge = lambda _s, _t, k: [1, 3_000] if k == kind and wire.now < 50 + wires.START else [1]
     caller = wire.add_caller()
@@ -73,7 +68,7 @@
 
 
 def test_late_open_does_not_close_the_moved_flow():
-    """A copy of the open reaches the old home after the move, before the caller knows of it."""
+    """A late copy of `Open` at the old home must not make the caller close the moved flow."""
     wire = wires.make_service(count=2)
 
     def judge(_source, _target, kind):
@@ -92,10 +87,9 @@
 
 
 def test_target_that_dies_after_the_transfer_was_sent_does_not_hold_the_flow_for_ever():
-    """The transfer goes out, its target dies and does not come back; the list still shows it.
+    """A dead target that is still listed must not keep the flow fenced without end.
 
-    The old home can neither run anything nor try another target. The caller must learn it in the
-    end: its feed goes on elsewhere, and its next request is answered.
+    The caller reopens the flow: its feed goes on and its next request is answered.
     """
     wire = wires.make_service(count=3, handover_deadline=2_000)
     caller = wire.add_caller()
@@ -123,10 +117,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_target_that_cannot_answer_past_the_deadline_stays_the_only_home(seed):
-    """The target takes the flow but its replies are lost until past the transfer's deadline.
+    """A target whose replies are lost until after the deadline must not refuse the transfer then.
 
-    It must still know then that it took the flow. If it refused, the old home would go to a third
-    sidecar, and two homes would run the same requests.
+    The old home would hand the flow to a third sidecar, and two homes would run its requests.
     """
     wire = wires.make_service(count=3, seed=seed, handover_deadline=2_000)
     caller = wire.add_caller()
@@ -144,7 +137,7 @@
 
 
 def transfer_of(home, incarnation, answers_for):
-    """Return a transfer as another sidecar would send it to `home`."""
+    """Return a transfer to `home` from another sidecar."""
     return transfer.Transfer(
         b"t" * 16,
         incarnation,
@@ -162,7 +155,7 @@
 
 
 def home_with_flow():
-    """Return a sidecar's core that is home of a flow, as incarnation 7."""
+    """Return the core of a flow's home, with incarnation 7."""
     wire = wires.make_service(count=3)
     core = next(iter(wire.homes.values())).core
     token = view.Token(core.key, 7, view.key_of(wires.SERVICE)).pack()
@@ -182,9 +175,9 @@
     ],
 )
 def test_transfer_to_a_sidecar_that_knows_the_flow(state, answers_for, accepted, kept):
-    """A second home of the flow is handed to a sidecar that holds, moves or has moved the flow.
+    """A sidecar that accepts a second home of a flow must not honour tokens of a fenced one.
 
-    If the sidecar then answered for the home that it has fenced, that home would run at two places.
+    The flow of the fenced home may have moved, so those tokens would be valid at two sidecars.
     """
     core, flow, sibling = home_with_flow()
     if state == "undecided":
@@ -203,14 +196,14 @@
 
 
 def test_flow_with_a_large_answer_moves_once_the_answer_has_arrived():
-    """An upstream leaves while an answer too large for a transfer is on its way.
+    """An answer too large for a transfer must neither be lost nor prevent the handover.
 
-    Its caller hears nothing for longer than a handover may take. The answer still arrives whole
-    from the old home; then the flow moves, and is not given up.
+    The caller receives it from the old home, later than the handover's deadline; then the flow
+    moves.
     """
     wire = wires.make_service(count=2, handover_deadline=1_000)
-    deaf_until = wires.START + 4_000
-    wire.judge = lambda _s, _t, k: [] if k == "AnswerPart" and wire.now < deaf_until else [1]
+    lost_until = wires.START + 4_000
+    wire.judge = lambda _s, _t, k: [] if k == "AnswerPart" and wire.now < lost_until else [1]
     caller = wire.add_caller()
     wire.run(100)
     request = caller.request("answers/3000000", b"", wire.now + 30_000, True, wire.now)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Show that a stop ends in its bound, also where no sibling is left to take the flows over."""
+"""Test that a stop ends in time even if no sibling can take the flows over."""
 
 import tests.wire as wires
 from ebonystile.core.calls import events, progress, sidecar
@@ -8,48 +8,40 @@
 
 
 def stop(wire, homes):
-    """Tell sidecars to leave as SIGTERM does; nothing is said in any list."""
+    """Make sidecars leave as SIGTERM does, without a change of the view."""
     for home in homes:
         wire.post(home, events.Leave("SIGTERM"))
 
 
-def expire_leases_of_the_gone(wire):
-    """Let the last caller's process end without a word; what it sends and hears is lost."""
+def kill_callers(wire):
+    """End the callers' processes without closing their flows."""
     wire.callers.clear()
 
 
-def test_flow_of_a_caller_that_is_gone_does_not_hold_a_stop_of_all_upstreams():
-    """A caller's process ends without closing its flow, as a repeated open may leave behind too.
-
-    Then every upstream of the service is stopped at once. Nobody can take the flow and nobody
-    wants it, yet its home went on asking siblings that are leaving as well until it was killed.
-    """
+def test_abandoned_flow_does_not_delay_a_stop_of_all_upstreams():
+    """An abandoned flow must not keep its home running when all upstreams stop at once."""
     wire = wires.make_service(count=4)
     caller = wire.add_caller()
     assert wire.run(2_000, lambda: caller.token)
     homes = list(wire.homes.values())
-    expire_leases_of_the_gone(wire)
+    kill_callers(wire)
     stop(wire, homes)
     assert wire.run(STOP_MS, lambda: all(sidecar.is_drained(h.core) for h in homes))
 
 
-def test_flow_of_a_caller_that_is_gone_does_not_hold_the_last_upstream():
-    """The only upstream of a service is stopped while an abandoned flow lives there."""
+def test_abandoned_flow_does_not_delay_a_stop_of_the_last_upstream():
+    """An abandoned flow must not keep the only upstream of a service running."""
     wire = wires.make_service(count=1)
     caller = wire.add_caller()
     assert wire.run(2_000, lambda: caller.token)
     (home,) = wire.homes.values()
-    expire_leases_of_the_gone(wire)
+    kill_callers(wire)
     stop(wire, [home])
     assert wire.run(STOP_MS, lambda: sidecar.is_drained(home.core))
 
 
 def test_idle_flow_waits_for_an_upstream_that_starts_a_minute_later():
-    """The only upstream is told to leave, and its successor comes up a minute after that.
-
-    The caller says nothing meanwhile but its heartbeats. Its flow is handed over, not dropped: the
-    next request runs at the successor, without the flow having been opened anew.
-    """
+    """A flow with heartbeats must be kept for a successor, not dropped and opened anew."""
     wire = wires.make_service(count=1)
     caller = wire.add_caller()
     assert wire.run(2_000, lambda: caller.token)
@@ -68,11 +60,7 @@
 
 
 def test_feed_goes_on_while_every_sibling_refuses_to_take_its_flow():
-    """All upstreams are stopped at once and a crew's feed has nowhere to go.
-
-    Its home keeps asking the others. Were the flow held for that, the crew would see nothing more
-    although the upstream still has events for it.
-    """
+    """A feed must not stop while its home offers the flow to siblings that all refuse it."""
     wire = wires.make_service(count=3)
     caller = wire.add_caller()
     feed = caller.subscribe("spans", 900, wire.now)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Follow requests, uploads, answers, feeds and handovers through all the cores at once."""
+"""Test requests, uploads, answers, feeds and handovers across all cores of the calls."""
 
 import collections
 
@@ -9,7 +9,7 @@
 
 
 def outcome_of(wire, caller, request, within=20_000):
-    """Return the final word on a request."""
+    """Return the outcome of a request."""
     wire.run(within, lambda: any(o.request == request for o in caller.outcomes))
     return next(o for o in caller.outcomes if o.request == request)
 
@@ -35,10 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_loss_duplication_and_reordering(seed):
-    """Every tenth datagram is lost, every tenth comes twice, and all are delayed unequally.
-
-    The caller still gets the whole answer to each request, and each ran once.
-    """
+    """Lost, duplicated and reordered datagrams must not lose an answer or cause a second run."""
     wire = wires.make_service(seed=seed)
 
     def judge(*_):
@@ -60,11 +57,7 @@
 
 
 def test_feed_events_that_overtake_one_another():
-    """Every second event takes a slower balancer, so it comes after the next ones.
-
-    The caller holds what came too early, and the feed goes on at the pace at which events come: it
-    is never stuck behind, nor asked for anew at each tick.
-    """
+    """Events reordered by a slow balancer must not stall the feed or trigger `Subscribe` often."""
     wire = wires.make_service(count=2)
     sent = collections.Counter()
 
@@ -83,10 +76,9 @@
 
 
 def test_subscriber_that_fell_behind_gets_every_event():
-    """The home's memory of a feed is full of newer events than a subscriber has.
+    """A subscriber that is further behind than the source's buffer must still get every event.
 
-    What it lacks is asked of the upstream again, and must not be dropped as the oldest at once: its
-    feed would stand still for ever.
+    Events polled again for it must not be dropped as the oldest of a full buffer.
     """
     wire = wires.make_service(count=1)
     ahead, behind = wire.add_caller(), wire.add_caller()
@@ -106,11 +98,7 @@
 
 
 def test_feed_and_requests_survive_replacement_of_every_upstream():
-    """A crew follows its feed while every upstream leaves in turn and a new one comes.
-
-    Each flow is fenced and handed over; the feed goes on with no event lost or doubled, and a
-    report sent during each step runs exactly once.
-    """
+    """A rolling replacement must not lose or repeat a feed's event, nor run a request twice."""
     wire = wires.make_service(count=3)
     caller = wire.add_caller()
     feed = caller.subscribe("spans", 900, wire.now)
@@ -139,7 +127,7 @@
 
 
 def test_sigterm_drains():
-    """The upstream is told to stop while a request runs: it ends well, then the flow moves."""
+    """A request that runs at SIGTERM must be answered before its flow moves."""
     wire = wires.make_service(count=2)
     wire.run_ms = 1_000
     caller = wire.add_caller()
@@ -155,11 +143,7 @@
 
 
 def test_an_idle_flow_outlives_its_lease():
-    """A caller has an open flow and says nothing on it for four leases.
-
-    Heartbeats come a third of a lease apart, whatever the lease is; some are lost. The flow is
-    never opened anew, and a report on it then is answered.
-    """
+    """Lost heartbeats must not end an idle flow within several leases."""
     wire = wires.make_service(flow_lease=9_000)
     caller = wire.add_caller()
     wire.run(500)
@@ -173,10 +157,9 @@
 
 @pytest.mark.parametrize("lost", ["Close", "Closed"])
 def test_a_close_that_is_lost_is_sent_again(lost):
-    """A caller ends its flow, and the first two copies of that, or of the answer, are lost.
+    """A lost `Close` or `Closed` must not keep the flow at its home until its lease ends.
 
-    The home would hold the flow until its lease ends, and with it an upstream that wants to leave.
-    The caller says it again until the home confirms it, then no more.
+    The caller resends `Close` until it is confirmed, and not after that.
     """
     wire = wires.make_service()
     caller = wire.add_caller()
@@ -193,13 +176,13 @@
     wire.run(3_000)
     assert caller.is_done
     assert not any(home.core.flows for home in wire.homes.values())
-    said = len(seen)
+    count = len(seen)
     wire.run(5_000)
-    assert len(seen) == said
+    assert len(seen) == count
 
 
 def test_a_flow_that_is_closed_before_it_is_open_leaves_no_home():
-    """The caller gives up while the answer to its open is under way."""
+    """A flow closed while the answer to its open is in flight must not stay at a sidecar."""
     wire = wires.make_service()
     wire.judge = lambda _s, _t, kind: [50] if kind == "Opened" else [wires.HOP_MS]
     caller = wire.add_caller()
