--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -66,7 +66,7 @@
 
     @property
     def unavailability(self) -> tuple[bool, bool]:
-        """Return whether the upstream is silent, and whether it takes no more flows at present."""
+        """Return whether the upstream is unresponsive, and whether it takes no more new flows."""
         return (self.load.unresponsive, self.load.full)
 
     @property
@@ -194,7 +194,7 @@
 def later_rounds(
     flow: packet.Flow, local: list[fleet.Upstream], remote: list[fleet.Upstream]
 ) -> list[list[fleet.Upstream]]:
-    """Return the rounds that follow if the upstreams of the first are busy or silent."""
+    """Return the rounds that follow if the upstreams of the first are busy or unresponsive."""
     rest = remaining_upstreams(flow, local, remote)
     groups = [rest[:SECOND_ROUND_SIZE], rest[SECOND_ROUND_SIZE : 3 * SECOND_ROUND_SIZE]]
     return [group for group in groups if group]
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -90,9 +90,9 @@
 
 def send_probes(state: balancer_state.BalancerState, now: int) -> list[effects.Effect]:
     """Send the next batch of probes, with those for the same upstream in common messages."""
-    flows, wanted = state.probe_batch.next_flows()
-    if not state.fan_out_budget.take(wanted, now):
-        state.probe_batch.due = max(now + 1, state.fan_out_budget.ready_at(wanted, now))
+    flows, message_count = state.probe_batch.next_flows()
+    if not state.fan_out_budget.take(message_count, now):
+        state.probe_batch.due = max(now + 1, state.fan_out_budget.ready_at(message_count, now))
         return []
     todo: list[effects.Effect] = []
     raws: dict[view.Address, list[bytes]] = {}
--- a/tests/carrying/faults.py
+++ b/tests/carrying/faults.py
@@ -27,7 +27,7 @@
 def kill(scenario: matrix.Scenario, node: world.Node, downtime_ms: int = 300) -> None:
     """Kill one process and restart it after its downtime."""
     node.alive = False
-    scenario.later(downtime_ms, scenario.restart_process, node)
+    scenario.schedule(downtime_ms, scenario.restart_process, node)
 
 
 def kill_sidecar(scenario: matrix.Scenario, node: world.Node) -> None:
@@ -46,7 +46,7 @@
 
 def kill_all(scenario: matrix.Scenario, node: world.Node) -> None:
     """Kill all balancers and sidecars at once; callers and upstreams keep running."""
-    for other in scenario.everyone():
+    for other in scenario.all_nodes():
         if other.alive:
             kill(scenario, other, downtime_ms=scenario.rng.randrange(200, 500))
 
@@ -56,7 +56,7 @@
     target = scenario.sidecar_near(node)
     target.upstream.flows.clear()
     target.upstream.alive = False
-    scenario.later(scenario.rng.choice([1, 900]), start_upstream, scenario, target)
+    scenario.schedule(scenario.rng.choice([1, 900]), start_upstream, scenario, target)
 
 
 def start_upstream(scenario: matrix.Scenario, node: world.Node) -> None:
@@ -64,9 +64,9 @@
     if node.gone:
         return
     node.upstream.restart()
-    if node.address in scenario.entry_of:
-        entry = scenario.entry_of[node.address]
-        scenario.entry(
+    if node.address in scenario.entries:
+        entry = scenario.entries[node.address]
+        scenario.change_entry(
             node,
             started_at=entry.started_at + 1_000,
             leaving=False,
@@ -83,18 +83,18 @@
 def lose_power(scenario: matrix.Scenario, node: world.Node) -> None:
     """Cut the power of an instance; its upstream and sidecar restart later without state."""
     target = scenario.sidecar_near(node)
-    entry = scenario.entry_of.pop(target.address, None)
+    entry = scenario.entries.pop(target.address, None)
     target.alive = target.upstream.alive = False
     target.upstream.flows.clear()
-    scenario.later(700, scenario.distribute_entries, target)
-    scenario.later(1_000, restore_power, scenario, target, entry)
+    scenario.schedule(700, scenario.distribute_entries, target)
+    scenario.schedule(1_000, restore_power, scenario, target, entry)
 
 
 def restore_power(scenario: matrix.Scenario, node: world.Node, entry) -> None:
     """Restart the processes of an instance under the same id."""
     if node.gone or entry is None:
         return
-    scenario.entry_of[node.address] = entry
+    scenario.entries[node.address] = entry
     start_upstream(scenario, node)
     scenario.restart_process(node)
 
@@ -126,7 +126,7 @@
         cuts |= {(target.address, other.address)} if outward else set()
         cuts |= {(other.address, target.address)} if inward else set()
     scenario.cuts |= cuts
-    scenario.later(OUTAGE_MS, scenario.cuts.difference_update, cuts)
+    scenario.schedule(OUTAGE_MS, scenario.cuts.difference_update, cuts)
 
 
 def cut_balancer(scenario: matrix.Scenario, node: world.Node) -> None:
@@ -137,7 +137,7 @@
     scenario.cuts |= cuts
     scenario.without_store.add(target.address)
     target.core.set_view_current(False, scenario.now)
-    scenario.later(OUTAGE_MS, scenario.cuts.difference_update, cuts)
+    scenario.schedule(OUTAGE_MS, scenario.cuts.difference_update, cuts)
 
 
 def balancer_without_store(scenario: matrix.Scenario, node: world.Node) -> None:
@@ -157,8 +157,8 @@
 def lose_entry(scenario: matrix.Scenario, node: world.Node) -> None:
     """Remove the entry of an upstream that keeps running."""
     target = scenario.sidecar_near(node)
-    if target.address in scenario.entry_of:
-        scenario.withheld_entries[target.address] = scenario.entry_of.pop(target.address)
+    if target.address in scenario.entries:
+        scenario.withheld_entries[target.address] = scenario.entries.pop(target.address)
         scenario.entry_lost_at[target.address] = scenario.now
         scenario.distribute_entries(target)
 
@@ -170,8 +170,8 @@
         return
     other = "photos" if target.core.service == "s" else "s"
     target.alive = target.upstream.alive = False
-    scenario.entry_of.pop(target.address, None)
-    scenario.later(300, take_address, scenario, target, other)
+    scenario.entries.pop(target.address, None)
+    scenario.schedule(300, take_address, scenario, target, other)
 
 
 def take_address(scenario: matrix.Scenario, node: world.Node, service: str) -> None:
@@ -181,7 +181,7 @@
     number = next(scenario.upstream_number)
     node.upstream = world.ends.Upstream(f"u{number}", 1_000_000 * number)
     node.core.service = service
-    scenario.entry_of[node.address] = world.fleet.make_upstream(
+    scenario.entries[node.address] = world.fleet.make_upstream(
         f"u{number}",
         scenario.now,
         service,
@@ -198,13 +198,13 @@
     """Mark an upstream as leaving, and undo that soon."""
     target = scenario.sidecar_near(node)
     scenario.mark_leaving(target)
-    scenario.later(scenario.rng.choice([5, 100, 600]), end_leaving, scenario, target)
+    scenario.schedule(scenario.rng.choice([5, 100, 600]), end_leaving, scenario, target)
 
 
 def end_leaving(scenario: matrix.Scenario, node: world.Node) -> None:
     """Mark an upstream as no longer leaving."""
-    if node.address in scenario.entry_of:
-        scenario.entry(node, leaving=False)
+    if node.address in scenario.entries:
+        scenario.change_entry(node, leaving=False)
         scenario.distribute_entries(node)
 
 
@@ -218,7 +218,7 @@
 def move_flows_twice(scenario: matrix.Scenario, node: world.Node) -> None:
     """Let the fabric send every flow to another balancer, twice."""
     scenario.move_flows()
-    scenario.later(30, scenario.move_flows)
+    scenario.schedule(30, scenario.move_flows)
 
 
 PROCESS_FAULTS: dict[str, typing.Callable[[matrix.Scenario, world.Node], None]] = {
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -102,14 +102,14 @@
             self.add_upstream(zone, "photos")
         self.allowed = {world.ROUTE: {"s"}, PHOTOS_ROUTE: {"photos"}}
         self.configure(2, {world.ROUTE: "s", PHOTOS_ROUTE: "photos"})
-        self.known()
+        self.publish_entries()
 
     # The scenario
 
     def play(self) -> list[str]:
         """Run the scenario and return the violations found."""
         for number in range(CALLERS):
-            self.later(60 * number, self.open_flow, number)
+            self.schedule(60 * number, self.open_flow, number)
         leaver = self.sidecars[1]
         plan = [
             (800, self.mark_leaving, leaver),
@@ -123,7 +123,7 @@
             (3_800, self.change_drained, "zone taken back", set()),
         ]
         for delay, *action in plan:
-            self.later(delay, *action)
+            self.schedule(delay, *action)
         self.run(ACTIVE_MS)
         self.end_faults()
         self.run(RECOVERY_MS)
@@ -152,13 +152,13 @@
         """Send the next request once the last one is answered; replace a flow that has ended."""
         if caller.over:
             self.active_callers.remove(caller)
-            self.later(100, self.open_flow, caller.number)
+            self.schedule(100, self.open_flow, caller.number)
             return
         if caller.waiting is None:
             self.request_count += 1
             caller.asked_at = self.now
             self.ask(caller, b"q%d" % self.request_count)
-        self.later(REQUEST_INTERVAL_MS, self.send_next_request, caller)
+        self.schedule(REQUEST_INTERVAL_MS, self.send_next_request, caller)
 
     def on_step(self, step: str, node: world.Node) -> None:
         """Inject the fault if this step is the case's step and it is due."""
@@ -168,18 +168,18 @@
     def distribute_entries(self, node: world.Node) -> None:
         """Deliver the entries to every process after a random delay, as watchers and relays do."""
         self.on_step("entry changed", node)
-        for other in self.everyone():
-            self.later(self.rng.randrange(1, 400), self.update_view, other)
+        for other in self.all_nodes():
+            self.schedule(self.rng.randrange(1, 400), self.update_view, other)
 
     def update_view(self, node: world.Node) -> None:
         """Update a process's view to the current entries, unless it is cut off from the store."""
         if node.alive and node.address not in self.without_store and self.now >= node.frozen_until:
-            self.known([node])
+            self.publish_entries([node])
 
     def mark_leaving(self, node: world.Node) -> None:
         """Mark an upstream as leaving in its entry."""
-        if node.address in self.entry_of:
-            self.entry(node, leaving=True)
+        if node.address in self.entries:
+            self.change_entry(node, leaving=True)
             self.distribute_entries(node)
 
     def replace_instance(self, node: world.Node) -> None:
@@ -195,7 +195,7 @@
         node.alive = False
         node.upstream.alive = False
         node.gone = True
-        self.entry_of.pop(node.address, None)
+        self.entries.pop(node.address, None)
         self.withheld_entries.pop(node.address, None)
 
     def change_routes(self) -> None:
@@ -203,9 +203,9 @@
         self.allowed[PHOTOS_ROUTE].add("s")
         self.on_step("configuration spread", self.sidecars[0])
         made = {world.ROUTE: "s", PHOTOS_ROUTE: "s"}
-        for node in self.everyone():
+        for node in self.all_nodes():
             if node.address not in self.without_store:
-                self.later(self.rng.randrange(1, 400), self.configure, 3, made, [node])
+                self.schedule(self.rng.randrange(1, 400), self.configure, 3, made, [node])
 
     def configure(self, version: int, by_route, nodes=None) -> None:
         """Put routes in force in these processes, all by default."""
@@ -234,7 +234,7 @@
 
     def restart_all(self) -> None:
         """Restart every process, so that flows are found only by probing upstreams."""
-        for node in self.everyone():
+        for node in self.all_nodes():
             self.restart_process(node)
 
     def restart_process(self, node: world.Node) -> None:
@@ -263,7 +263,7 @@
                 self.lossy_link, self.lossy_until = (origin, target), self.now + faults.OUTAGE_MS
             return faults.MESSAGE_FAULTS[self.case.fault]
         node = self.nodes.get(target) or self.nodes.get(origin) or self.sidecars[0]
-        self.later(0, self.inject, node)
+        self.schedule(0, self.inject, node)
         return usual
 
     def is_due(self) -> bool:
@@ -296,33 +296,35 @@
         self.without_store.clear()
         self.mute_until = {name: min(at, self.now) for name, at in self.mute_until.items()}
         for address, entry in self.withheld_entries.items():
-            self.entry_of[address] = entry
+            self.entries[address] = entry
         self.withheld_entries.clear()
-        for node in self.everyone():
+        for node in self.all_nodes():
             node.frozen_until = min(node.frozen_until, self.now)
             if not node.alive and not node.gone:
                 self.restart_process(node)
-        self.configure(*self.newest, [n for n in self.everyone() if n.alive])
-        self.known([n for n in self.everyone() if n.alive])
+        self.configure(*self.newest, [n for n in self.all_nodes() if n.alive])
+        self.publish_entries([n for n in self.all_nodes() if n.alive])
 
     # Checks at upstreams and callers
 
-    def at_node(self, origin, target, message):
+    def deliver_to_node(self, origin, target, message):
         node = self.nodes[target]
         if node.alive and self.now < node.frozen_until:
             # A frozen process handles buffered messages when it resumes.
-            self.later(node.frozen_until - self.now, self.at_node, origin, target, message)
+            self.schedule(
+                node.frozen_until - self.now, self.deliver_to_node, origin, target, message
+            )
             return
-        super().at_node(origin, target, message)
+        super().deliver_to_node(origin, target, message)
 
-    def at_upstream(self, node, raw):
+    def deliver_to_upstream(self, node, raw):
         if self.now < self.mute_until.get(node.upstream.name, 0):
             return
         shown = packets.from_caller(raw)
         if shown.opens and shown.flow not in node.upstream.flows:
             self.check_opening(node, shown)
         before = len(node.upstream.ran)
-        super().at_upstream(node, raw)
+        super().deliver_to_upstream(node, raw)
         for request in node.upstream.ran[before:]:
             self.check_runs_once(node, request)
         if not shown.opens:
@@ -368,7 +370,7 @@
         recent.append((self.now, node.upstream.name))
         self.misrouted[flow] = recent
         if len({name for _, name in recent}) >= MOVED_UPSTREAMS:
-            self.later(world.DELAY_MS, self.check_moved, flow)
+            self.schedule(world.DELAY_MS, self.check_moved, flow)
 
     def check_moved(self, flow) -> None:
         """Record a violation unless the flow's home got its packets as well."""
@@ -382,14 +384,14 @@
         """Return whether the upstream still holds the flow that it accepted."""
         return node.upstream.alive and node.upstream.flows.get(flow) is accepted
 
-    def at_caller(self, raw):
+    def deliver_to_caller(self, raw):
         got = packets.from_upstream(raw)
         caller = self.callers.get(got.flow)
         if caller is not None and got.accepts and not caller.open and not caller.over:
             self.record_home(got)
         if caller is not None and got.aborts and not caller.over:
             self.check_reset(caller)
-        super().at_caller(raw)
+        super().deliver_to_caller(raw)
 
     def record_home(self, got) -> None:
         """Record the upstream whose acceptance the caller takes as the flow's home."""
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -38,9 +38,9 @@
 
 def restart_without_entry(scene, node, *, upstreams):
     """Restart everything after an upstream has lost its entry, with no process aware of it."""
-    del scene.entry_of[node.address]
+    del scene.entries[node.address]
     restart_everything(scene, upstreams=upstreams)
-    for other in scene.everyone():
+    for other in scene.all_nodes():
         other.core.fleet.unlisted_until.clear()
 
 
@@ -70,7 +70,7 @@
     scene = world.World(balancers=2, upstreams=6)
     caller = scene.open()
     restart_everything(scene, upstreams=True)
-    scene.known(scene.sidecars)
+    scene.publish_entries(scene.sidecars)
     scene.run(300)
     scene.restart_balancer(scene.balancers[0])
     make_views_current(scene, scene.balancers)
@@ -105,15 +105,15 @@
     scene = world.World(balancers=1, upstreams=8)
     caller = scene.open()
     home = scene.home_of(caller)
-    listed = {a: e for a, e in scene.entry_of.items() if a != home.address}
-    scene.entry_of = dict(list(listed.items())[:4])
+    listed = {a: e for a, e in scene.entries.items() if a != home.address}
+    scene.entries = dict(list(listed.items())[:4])
     restart_everything(scene, upstreams=False)
     make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     for address, entry in list(listed.items())[4:]:
         scene.run(announcing.WITNESS_MIN_LISTENED_MS // 2)
-        scene.entry_of[address] = entry
-        scene.known(scene.sidecars)
+        scene.entries[address] = entry
+        scene.publish_entries(scene.sidecars)
         assert not scene.balancers[0].core.confirmation.confirmed
 
 
@@ -125,7 +125,7 @@
     scene = world.World()
     core = scene.sidecars[0].core
     scene.add_upstream("a")
-    scene.known(scene.sidecars)
+    scene.publish_entries(scene.sidecars)
     question = messages.AskUnlisted()
     (sent,) = core.on_message(question, None, scene.balancers[0].address, scene.now - 1)
     assert carrying.unpack(carrying.pack(sent.message)).listened_ms == 0
@@ -228,14 +228,14 @@
     """A balancer that starts after an outage in which all entries expired reads an empty list."""
     scene = world.World(balancers=1)
     caller = scene.open()
-    listed = dict(scene.entry_of)
-    scene.entry_of.clear()
+    listed = dict(scene.entries)
+    scene.entries.clear()
     scene.restart_balancer(scene.balancers[0])
     make_views_current(scene, scene.balancers)
     scene.ask(caller, b"again")
     scene.run(500)
     assert caller.resets == 0
-    scene.entry_of.update(listed)
+    scene.entries.update(listed)
     for made in listed.values():
         scene.balancers[0].core.fleet.put(made)
     scene.run(1_000)
--- a/tests/carrying/test_drained.py
+++ b/tests/carrying/test_drained.py
@@ -1,4 +1,4 @@
-"""What callers get while operators drain an availability zone, and when they take it back."""
+"""Flows while an availability zone is drained, and after the end of the drain."""
 
 import pytest
 
@@ -14,22 +14,22 @@
 
 
 def drain(scene, *zones, nodes=None):
-    """Let nodes, all of them unless named, know that exactly these zones are drained."""
+    """Set the drained zones at the given nodes, by default at all of them."""
     scene.drained = set(zones)
-    scene.known(nodes)
+    scene.publish_entries(nodes)
 
 
 def zones_of(scene, callers):
     return {scene.home_of(caller).zone for caller in callers}
 
 
-def test_a_drained_zone_gets_no_new_flow_and_no_caller_is_turned_away():
+def test_a_drained_zone_gets_no_new_flow_and_no_caller_is_refused():
     scene = world.World()
     drain(scene, "a")
     assert zones_of(scene, open_many(scene)) == {"b"}
 
 
-def test_open_flows_of_a_drained_zone_go_on_also_through_other_processes():
+def test_open_flows_of_a_drained_zone_survive_restarts_of_sidecar_and_balancer():
     scene = world.World()
     caller = scene.open(zone="a")
     home = scene.home_of(caller)
@@ -44,8 +44,8 @@
     assert caller.answer.endswith(b"later") and caller.resets == 0
 
 
-def test_a_sidecar_refuses_what_a_balancer_cut_off_from_the_store_sends():
-    """A balancer does not know of the drain: its flows go on to another zone without a word."""
+def test_a_sidecar_refuses_flows_of_a_balancer_that_does_not_know_of_the_drain():
+    """A balancer cut off from the store must not place flows in the drained zone."""
     scene = world.World()
     drain(scene, "a", nodes=scene.sidecars)
     callers = open_many(scene)
@@ -53,8 +53,8 @@
     assert not any(caller.resets for caller in callers)
 
 
-def test_a_sidecar_that_learns_of_the_drain_last_refuses_too():
-    """The sidecar answered that it takes flows, and hears of the drain before the flow arrives."""
+def test_a_sidecar_refuses_a_flow_if_the_drain_begins_after_its_answer():
+    """The sidecar reads of the drain between its answer and the arrival of the flow."""
     scene = world.World(zones=("a",), upstreams=2, balancers=1)
     first = scene.caller()
     scene.run(world.DELAY_MS + 1)
@@ -63,7 +63,7 @@
     assert not any(first.flow in node.upstream.opened for node in scene.sidecars)
 
 
-def test_a_balancer_that_learns_of_the_drain_first_asks_nobody_there():
+def test_a_balancer_queries_no_sidecar_of_a_drained_zone():
     scene = world.World()
     drain(scene, "a", nodes=scene.balancers)
     scene.sent.clear()
@@ -73,7 +73,7 @@
     assert not inside.intersection(answers)
 
 
-def test_a_zone_that_is_taken_back_gets_flows_again():
+def test_a_zone_gets_flows_again_after_its_drain():
     scene = world.World()
     drain(scene, "a")
     open_many(scene)
@@ -81,8 +81,8 @@
     assert zones_of(scene, open_many(scene, first=43_000)) == {"a", "b"}
 
 
-def test_callers_are_told_at_once_when_every_zone_is_drained():
-    """Nobody can take a new flow, so waiting for one would only use up the caller's time."""
+def test_a_new_flow_is_reset_at_once_while_every_zone_is_drained():
+    """Waiting for an upstream that accepts the flow would use up the caller's time."""
     scene = world.World()
     drain(scene, "a", "b")
     caller = scene.caller()
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("zones", [("nowhere",), tuple(f"zone-{n}" for n in range(1_000))])
-def test_zones_that_nobody_is_in_change_nothing(zones):
+def test_drained_zones_without_upstreams_change_nothing(zones):
     scene = world.World()
     drain(scene, *zones)
     assert zones_of(scene, open_many(scene)) == {"a", "b"}
--- a/tests/carrying/test_fleet.py
+++ b/tests/carrying/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which upstreams are known, and for how long those are remembered whose entries have gone."""
+"""The fleet's listed upstreams, and how long those without an entry are remembered."""
 
 from ebonystile.core.carrying import fleet
 
@@ -13,7 +13,7 @@
     return [upstream.name for upstream in upstreams]
 
 
-def test_an_upstream_without_an_entry_may_live_on_for_a_minute():
+def test_an_upstream_that_lost_its_entry_is_remembered_for_a_minute():
     known = fleet.Fleet()
     known.put(made())
     assert known.unlisted() == []
@@ -25,8 +25,8 @@
     assert known.unlisted() == []
 
 
-def test_whoever_has_taken_its_address_shows_that_it_is_gone():
-    """An address is used again, perhaps by another service: the former upstream is gone."""
+def test_an_upstream_is_gone_once_its_address_is_reused():
+    """An address may be reused by another service, which must not get the former's packets."""
     known = fleet.Fleet()
     known.put(made())
     known.remove("u1", 1_000)
@@ -37,7 +37,7 @@
     assert names(known.unlisted()) == ["u2"]
 
 
-def test_few_are_remembered_after_a_whole_fleet_has_gone():
+def test_the_number_of_unlisted_upstreams_is_bounded():
     known = fleet.Fleet()
     for number in range(fleet.MAX_UNLISTED + 50):
         known.put(made(f"u{number}", address=(f"10.{number // 250}.0.{number % 250}", 7720)))
@@ -46,12 +46,8 @@
     assert len(known.unlisted()) == fleet.MAX_UNLISTED
 
 
-def test_of_two_starts_at_one_address_the_one_listed_last_holds():
-    """An upstream's instance loses power and is back before the old entry has lapsed.
-
-    The entries do not say when their upstreams started. Whatever their names, the address belongs
-    to the one whose entry came to be last.
-    """
+def test_of_two_entries_at_one_address_the_one_created_last_counts():
+    """An instance restarts before its old entry expires; the entries give no times of start."""
     for first, second in (("a", "b"), ("b", "a")):
         known = fleet.Fleet()
         known.put(fleet.make_upstream(second, 0, "t", ADDRESS, "a", 2, created_revision=9))
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -17,15 +17,15 @@
     new_routes = routes.make_routes(
         2, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS, slow_starts
     )
-    for node in scene.everyone():
+    for node in scene.all_nodes():
         node.core.route_table.replace(new_routes)
 
 
 def start_slowly(scene, *nodes):
     """Put upstreams into their slow start by their entries."""
     for node in nodes:
-        scene.entry(node, slow_start_until=scene.now + DURATION_MS)
-    scene.known()
+        scene.change_entry(node, slow_start_until=scene.now + DURATION_MS)
+    scene.publish_entries()
 
 
 def open_flows(scene, count, over_ms):
@@ -43,7 +43,7 @@
     times = [
         at
         for at, event, fields in scene.traces
-        if event == "opened" and fields["upstream"] == scene.entry_of[node.address].name
+        if event == "opened" and fields["upstream"] == scene.entries[node.address].name
     ]
     return max((sum(at <= t <= at + 1_000 for t in times) for at in times), default=0)
 
@@ -141,7 +141,7 @@
     """Restrict the route to regions; zone a lies in north, zone b in south."""
     route = routes.Route("r", (("s", 1),), regions)
     new_routes = routes.make_routes(3, [(*world.ROUTE, route)], routes.DEFAULT_IDLE_TIMEOUT_MS)
-    for node in scene.everyone():
+    for node in scene.all_nodes():
         node.core.route_table.replace(new_routes)
         node.core.fleet.regions = {"a": "north", "b": "south"}
 
