--- a/src/ebonystile/core/budget.py
+++ b/src/ebonystile/core/budget.py
@@ -28,5 +28,5 @@
 
     def ready_at(self, units: int, now: int) -> int:
         """Return the earliest time in ms at which `units` can be taken."""
-        room = max(0, self.burst - units)
-        return max(now, self.full_at - room * 1000 // self.rate)
+        spare = max(0, self.burst - units)
+        return max(now, self.full_at - spare * 1000 // self.rate)
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -40,7 +40,7 @@
 
 MAX_ATTEMPTS = 4
 """Limit of consecutive searches for a flow while every sidecar with an entry answers. By the last
-of them this balancer has caught up with the store and skips silent sidecars without an entry.
+of them this balancer has caught up with the store and skips unresponsive sidecars without an entry.
 Waiting for the caller's next copy instead takes up to 1.6 s more."""
 
 
--- a/src/ebonystile/core/carrying/fleet.py
+++ b/src/ebonystile/core/carrying/fleet.py
@@ -201,5 +201,5 @@
 
     def is_listed(self, upstream: Upstream) -> bool:
         """Return whether this incarnation of the upstream is listed."""
-        known = self.upstreams.get(upstream.name)
-        return known is not None and known.started_at == upstream.started_at
+        listed = self.upstreams.get(upstream.name)
+        return listed is not None and listed.started_at == upstream.started_at
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -21,10 +21,10 @@
 ) -> list[effects.Effect] | None:
     """Probe upstreams whose sidecars started too recently to know their flows.
 
-    If every sidecar answered, the home is among the upstreams probed. If one is silent, it may be
-    the home, and only `MAX_BLIND_PROBES` others are probed: packets of the flow that reach several
-    other upstreams and not its home look like a flow that was moved. The upstreams of the first
-    round are probed first, since the home is most likely one of them.
+    If every sidecar answered, the home is among the upstreams probed. If one is unresponsive, it
+    may be the home, and only `MAX_BLIND_PROBES` others are probed: packets of the flow that reach
+    several other upstreams and not its home look like a flow that was moved. The upstreams of the
+    first round are probed first, since the home is most likely one of them.
 
     Before the view is confirmed at most `MAX_EARLY_PROBES` are probed. No flow can be reset before
     that, and probing all upstreams for all flows would delay the flows that exist.
--- a/tests/carrying/test_loss.py
+++ b/tests/carrying/test_loss.py
@@ -246,8 +246,8 @@
     scene = world.World(zones=("a",), upstreams=30, balancers=1)
     caller = scene.open()
     restart_all_instances(scene)
-    known = scene.balancers[0].core.fleet.upstreams_of("s")
-    slow = placing.rank_upstreams(caller.flow, known, "a")[0].address
+    upstreams = scene.balancers[0].core.fleet.upstreams_of("s")
+    slow = placing.rank_upstreams(caller.flow, upstreams, "a")[0].address
     scene.delays = lambda step, origin, target: [
         flow_search.ROUND_MS + 8 if origin == slow and step == "Answer" else world.DELAY_MS
     ]
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -288,16 +288,16 @@
 
 def test_upstreams_lost_in_an_outage_of_the_store_are_kept_after_its_return():
     """A running upstream is listed again in about 2 s; until then no flow of it may be reset."""
-    known = fleet.Fleet()
+    members = fleet.Fleet()
     made = fleet.make_upstream("u1", 1, "s", ("10.0.1.1", 7720), "a", 2)
-    known.put(made)
-    assert not known.remove("u1", 1_000, keep_until=1_000 + fleet.RELIST_GRACE_MS)
-    assert known.upstreams_of("s")
-    known.put(made)
-    assert known.expire(4_000) == []
-    assert not known.remove("u1", 5_000, keep_until=5_500)
-    assert known.expire(5_500) == ["u1"]
-    assert not known.upstreams_of("s")
+    members.put(made)
+    assert not members.remove("u1", 1_000, keep_until=1_000 + fleet.RELIST_GRACE_MS)
+    assert members.upstreams_of("s")
+    members.put(made)
+    assert members.expire(4_000) == []
+    assert not members.remove("u1", 5_000, keep_until=5_500)
+    assert members.expire(5_500) == ["u1"]
+    assert not members.upstreams_of("s")
 
 
 def test_new_flows_open_at_once_while_300_lost_flows_are_searched_for():
@@ -490,9 +490,10 @@
     """Missing answers of upstreams that were replaced must not limit the probes to a few others."""
     scene = world.World(zones=("a",), upstreams=30, balancers=2)
     flow = packet.end_of("100.64.0.7", 40_001) + packet.end_of(*world.ROUTE)
-    known = scene.balancers[0].core.fleet.upstreams_of("s")
+    upstreams = scene.balancers[0].core.fleet.upstreams_of("s")
     first = [
-        u.address for u in placing.rank_upstreams(flow, known, "a")[: flow_search.FIRST_ROUND_SIZE]
+        u.address
+        for u in placing.rank_upstreams(flow, upstreams, "a")[: flow_search.FIRST_ROUND_SIZE]
     ]
     for address in first:
         scene.change_entry(scene.nodes[address], leaving=True)
--- a/tests/carrying/test_placing.py
+++ b/tests/carrying/test_placing.py
@@ -8,16 +8,16 @@
 ROUTE = packet.end_of(*world.ROUTE)
 
 
-def upstream(number, zone="a", **known):
-    return fleet.make_upstream(f"u{number}", 1, "s", (f"10.0.1.{number}", 1), zone, 2, **known)
+def upstream(number, zone="a", **fields):
+    return fleet.make_upstream(f"u{number}", 1, "s", (f"10.0.1.{number}", 1), zone, 2, **fields)
 
 
 def flow(port):
     return packet.end_of("100.64.0.7", port) + ROUTE
 
 
-def chosen(*loads, now=0, **known):
-    made = [(upstream(n, **known), load) for n, load in enumerate(loads)]
+def chosen(*loads, now=0, **fields):
+    made = [(upstream(n, **fields), load) for n, load in enumerate(loads)]
     best = placing.pick_best(placing.compare_candidates(made, "a", now))
     return best.upstream.name if best else None
 
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -75,7 +75,7 @@
         self.schedule(TICK_MS, self.tick, node)
         return node
 
-    def add_upstream(self, zone, service="s", **known):
+    def add_upstream(self, zone, service="s", **fields):
         """Add an upstream and its sidecar, which started long enough ago to know its flows."""
         number = next(self.upstream_number)
         address = (f"10.0.1.{number}", 7720)
@@ -86,7 +86,7 @@
         node = Node(core, address, zone, upstream)
         self.nodes[address] = node
         self.sidecars.append(node)
-        made = fleet.make_upstream(f"u{number}", 1, service, address, zone, 2, **known)
+        made = fleet.make_upstream(f"u{number}", 1, service, address, zone, 2, **fields)
         self.entries[address] = made
         self.schedule(TICK_MS, self.tick, node)
         return node
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -436,7 +436,7 @@
         "return False",
     ),
     Mutation(
-        "few upstreams probed blindly",
+        "few upstreams probed while a sidecar is unresponsive",
         CORE + "carrying/probing.py",
         "unknown = unknown[: max(0, flow_search.MAX_BLIND_PROBES - len(search.probed))]",
         "pass",
@@ -454,61 +454,61 @@
         "            pass\n",
     ),
     Mutation(
-        "sidecars without an entry are asked",
+        "unlisted sidecars named by seeds are asked",
         CORE + "carrying/balancer.py",
         "announcing.record_unlisted(balancer.fleet, address, now + announcing.ASKER_TTL_MS)",
         "pass",
     ),
     Mutation(
-        "sidecars that are gone are not waited for",
+        "unlisted sidecars have a shorter timeout",
         CORE + "carrying/balancer_state.py",
         "return min(search.deadline, search.asked_at + flow_search.UNLISTED_TIMEOUT_MS)",
         "return search.deadline",
     ),
     Mutation(
-        "an empty list ends no flow",
+        "an empty list resets no flow",
         CORE + "carrying/balancer.py",
         "if not search.has_next_round and (received.opens or self.is_view_confirmed(now)):",
         "if not search.has_next_round:",
     ),
     Mutation(
-        "own placings count",
+        "own placements count towards the load",
         CORE + "carrying/balancer_state.py",
         "self.placements.append((now, upstream.address))",
         "pass",
     ),
     Mutation(
-        "new flows wait out a rush",
+        "new flows are deferred while upstreams are overloaded",
         CORE + "carrying/placing.py",
         "return load.saturated and load.running",
         "return False and load.running",
     ),
     Mutation(
-        "the younger of two entries holds",
+        "the newest of two entries at one address counts",
         CORE + "carrying/fleet.py",
         "return (upstream.started_at, upstream.created_revision, upstream.name)",
         "return (upstream.started_at, upstream.name)",
     ),
     Mutation(
-        "no reset by an old view",
+        "no reset before the view is confirmed",
         CORE + "carrying/balancer_state.py",
         "return self.confirmation.confirmed or now - self.view_current_since >= MIN_VIEW_AGE_MS",
         "return True",
     ),
     Mutation(
-        "no reset by whoever has read less of the store",
+        "no reset by a balancer behind the sidecars' revision",
         CORE + "carrying/finding.py",
         "if search.revision > state.revision:",
         "if False:",
     ),
     Mutation(
-        "searches for open flows bounded",
+        "number of searches for open flows limited",
         CORE + "carrying/balancer.py",
         "elif self.open_flow_searches < MAX_OPEN_FLOW_SEARCHES:",
         "elif True:",
     ),
     Mutation(
-        "wide searches bounded",
+        "later rounds of open flows batched",
         CORE + "carrying/balancer.py",
         "if search.has_next_round and search.is_opening:\n"
         "            return self.ask_next_round(search, now)",
@@ -521,7 +521,7 @@
         "pass",
     ),
     Mutation(
-        "version of routes never falls",
+        "version of routes never decreases",
         CORE + "carrying/routes.py",
         "if newer.version <= self.routes.version:",
         "if newer.version == self.routes.version:",
@@ -552,19 +552,19 @@
         "if True:",
     ),
     Mutation(
-        "equals told apart by rank",
+        "rank decides among equally loaded upstreams",
         CORE + "carrying/placing.py",
         "COST_TOLERANCE = 0.05",
         "COST_TOLERANCE = -1.0",
     ),
     Mutation(
-        "upstreams without an entry asked before a reset",
+        "unlisted upstreams asked before a reset",
         CORE + "carrying/finding.py",
         "return [u for u in unlisted if now - since.get(u.address, now) < GONE_TIMEOUT_MS]",
         "return []",
     ),
     Mutation(
-        "finding forgets that a flow was nowhere",
+        "finding a flow clears its earlier failed search",
         CORE + "carrying/balancer_state.py",
         "        self.not_found_since.pop(flow, None)\n",
         "",
@@ -607,7 +607,7 @@
         "        False\n",
     ),
     Mutation(
-        "a late answer ends no search",
+        "a late answer ends no batched search",
         CORE + "carrying/asking.py",
         "    if search.flow not in state.ask_batch.waiting:\n",
         "    if state.ask_batch.waiting.pop(search.flow, None):\n"
@@ -615,7 +615,7 @@
         "    if search.flow not in state.ask_batch.waiting:\n",
     ),
     Mutation(
-        "silent ones are not waited for by each caller",
+        "unresponsive unlisted sidecars are skipped",
         CORE + "carrying/finding.py",
         " if now - since.get(u.address, now) < GONE_TIMEOUT_MS]",
         "]",
@@ -633,7 +633,7 @@
         "",
     ),
     Mutation(
-        "a search that ends in doubt is made again",
+        "an uncertain search is repeated",
         CORE + "carrying/balancer.py",
         "and search.attempt < finding.MAX_ATTEMPTS:",
         "and search.attempt < 2 and not_found:",
@@ -645,7 +645,7 @@
         "return MIN_WATCHERS",
     ),
     Mutation(
-        "balancers ask nobody in a drained zone",
+        "balancers query no sidecar in a drained zone",
         CORE + "carrying/fleet.py",
         "if not u.leaving and u.zone not in drained]",
         "if not u.leaving]",
