--- a/src/ebonystile/commands/call.py
+++ b/src/ebonystile/commands/call.py
@@ -9,8 +9,8 @@
 from ebonystile.caller import client
 from ebonystile.commands import shell
 
-NOT_RUN = 3
-OUTCOME_UNKNOWN = 4
+EXIT_NOT_RUN = 3
+EXIT_OUTCOME_UNKNOWN = 4
 """Exit statuses: the request surely was not run; nobody can tell whether it was."""
 
 
@@ -36,7 +36,7 @@
 @click.option("--feed", is_flag=True, help="Follow PATH as a feed instead: one line an event.")
 @click.option("--position", type=click.IntRange(0), default=0, help="Last event already known.")
 @click.option("--count", type=click.IntRange(1), help="End after this many events.")
-@shell.telling_errors
+@shell.report_errors
 def show(service, path, balancers, data, file, idempotent, deadline_ms, feed, position, count):
     """Send one request to SERVICE and print the answer, or follow a feed.
 
@@ -50,31 +50,33 @@
             follow(flow.subscribe(path, position), deadline_ms, count)
         else:
             body = file.read() if file else data.encode()
-            request(flow, path, body, deadline, idempotent)
+            send_request(flow, path, body, deadline, idempotent)
 
 
-def request(flow: client.Flow, path: str, body: bytes, deadline: int, idempotent: bool) -> None:
+def send_request(
+    flow: client.Flow, path: str, body: bytes, deadline: int, idempotent: bool
+) -> None:
     """Send one request; print the answer, or say what became of it."""
     try:
         answer = flow.request(path, body, deadline, idempotent=idempotent)
     except errors.NotRunError as error:
         wait = max(0, error.retry_at - clock.now())
         click.echo(f"not run: {error.reason}; come back in {wait} ms", err=True)
-        raise click.exceptions.Exit(NOT_RUN) from error
+        raise click.exceptions.Exit(EXIT_NOT_RUN) from error
     except errors.OutcomeUnknownError as error:
         click.echo(f"outcome unknown: {error.reason}", err=True)
-        raise click.exceptions.Exit(OUTCOME_UNKNOWN) from error
+        raise click.exceptions.Exit(EXIT_OUTCOME_UNKNOWN) from error
     sys.stdout.buffer.write(answer.body)
     sys.stdout.buffer.flush()
 
 
-def follow(feed: client.Feed, silence_ms: int, count: int | None) -> None:
-    """Print events, a line each, until `count` came or none did for `silence_ms`."""
+def follow(feed: client.Feed, idle_timeout_ms: int, count: int | None) -> None:
+    """Print events, a line each, until `count` came or none did for `idle_timeout_ms`."""
     printed = 0
     while count is None or printed < count:
-        event = feed.next(clock.now() + silence_ms)
+        event = feed.next(clock.now() + idle_timeout_ms)
         if event is None:
-            reason = f"no event for {silence_ms} ms"
+            reason = f"no event for {idle_timeout_ms} ms"
             raise errors.CallError(reason, step="follow feed", peer=feed.flow.core.service)
         click.echo(f"{event.position} {event.body.decode(errors='replace')}")
         printed += 1
--- a/src/ebonystile/commands/causes.py
+++ b/src/ebonystile/commands/causes.py
@@ -18,7 +18,7 @@
 @click.option(
     "--span-ms", type=click.IntRange(1), default=2_000, show_default=True, help="Length of a span."
 )
-@shell.telling_errors
+@shell.report_errors
 def show(logs, at, within_s, span_ms):
     """Tell why callers had to wait or were not served, by the LOGS of all carrying daemons.
 
@@ -27,11 +27,11 @@
     """
     around = 1000 * within_s
     since, until = (0, None) if at is None else (at - around, at + around)
-    lines = carried.select(shell.texts_of(logs), carried.Filter(since=since, until=until))
+    lines = carried.select(shell.iter_lines(logs), carried.Filter(since=since, until=until))
     if not lines:
         reason = "no line of a carrying daemon for that time"
         raise errors.UserError(reason, step="read", peer="logs")
-    rows = causes.rows(causes.troubles(lines), span_ms)
+    rows = causes.rows(causes.find_disruptions(lines), span_ms)
     if not rows:
         click.echo("No flow had trouble.")
         return
--- a/src/ebonystile/commands/check.py
+++ b/src/ebonystile/commands/check.py
@@ -15,7 +15,7 @@
     "sidecar": settings.SidecarSettings,
     "operator": settings.OperatorSettings,
 }
-CARRIER_FOUND = "carrier settings"
+CARRIER_LABEL = "carrier settings"
 CARRIER = "carrier"
 """The settings that the platform fills in for the daemons that carry foreign flows."""
 
@@ -25,7 +25,7 @@
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--kind", type=click.Choice(KINDS), help="What the files are, if it isn't plain.")
-@shell.telling_errors
+@shell.report_errors
 def check(files, kind):
     """Check FILES: settings of any program, or documents for the platform.
 
@@ -41,10 +41,10 @@
                 click.echo(f"{file}: {fault}", err=True)
         else:
             click.echo(f"{file}: {found} ok")
-            for line in explanation(pathlib.Path(file), found):
+            for line in explain_fields(pathlib.Path(file), found):
                 click.echo(f"  {line}")
     if faulty:
-        raise click.exceptions.Exit(shell.REFUSED)
+        raise click.exceptions.Exit(shell.INVALID_INPUT)
 
 
 def check_file(path: pathlib.Path, kind: str | None) -> str:
@@ -56,14 +56,14 @@
         return f"{kind} settings"
     if kind == CARRIER:
         node.read(path)
-        return CARRIER_FOUND
+        return CARRIER_LABEL
     documents.parse(f"{kind}/{path.stem}", value)
     return f"{kind} document"
 
 
-def explanation(path: pathlib.Path, found: str) -> list[str]:
+def explain_fields(path: pathlib.Path, found: str) -> list[str]:
     """Return what the fields mean, for settings that somebody else filled in."""
-    if found != CARRIER_FOUND:
+    if found != CARRIER_LABEL:
         return []
     settings_read = node.read(path)
     return [
--- a/src/ebonystile/commands/explain.py
+++ b/src/ebonystile/commands/explain.py
@@ -15,16 +15,16 @@
     "--token", type=shell.IdType(), default=b"", help="The token of the caller's packets."
 )
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-@shell.asking
-def show(desk, service, flow, token, as_json):
+@shell.with_query_options
+def show(context, service, flow, token, as_json):
     """Tell where packets of FLOW go for SERVICE, and why, at which revision.
 
     FLOW is the whole flow id in hex, as logs and the time line show it. Each process is asked by
     its own view, so that differences between them show.
     """
-    flow = shell.id_or_fail(flow, "a flow id")
+    flow = shell.require_full_id(flow, "a flow id")
     make = functools.partial(messages.ExplainRequest, service=service, flow=flow, token=token)
-    route = explain.route_of(service, flow, desk.ask(make))
+    route = explain.route_of(service, flow, context.query_all(make))
     if as_json:
         shell.print_json(explain.as_json(route))
     else:
--- a/src/ebonystile/commands/logs.py
+++ b/src/ebonystile/commands/logs.py
@@ -15,7 +15,7 @@
 @click.option(
     "--within-s", type=click.IntRange(1), default=5, show_default=True, help="How far around."
 )
-@shell.telling_errors
+@shell.report_errors
 def show(logs, process, event, upstream, at, within_s):
     """Show what LOGS of the carrying daemons, or standard input, tell, merged into one time line.
 
@@ -24,5 +24,5 @@
     around = 1000 * within_s
     since, until = (0, None) if at is None else (at - around, at + around)
     wanted = carried.Filter(process, event, upstream, since=since, until=until)
-    for line in carried.select(shell.texts_of(logs), wanted):
-        click.echo(carried.text_of(line))
+    for line in carried.select(shell.iter_lines(logs), wanted):
+        click.echo(carried.format_line(line))
--- a/src/ebonystile/commands/preview.py
+++ b/src/ebonystile/commands/preview.py
@@ -36,8 +36,8 @@
 )
 @click.option("--flows/--no-flows", default=True, help="Ask how many flows would move.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-@shell.asking
-def show(desk, files, key, present, instances, flows, as_json):
+@shell.with_query_options
+def show(context, files, key, present, instances, flows, as_json):
     """Show what publishing the changed documents in FILES would do; nothing is published.
 
     The key of each document is its kind and the file's name: services/main for main.json that
@@ -48,11 +48,11 @@
     if bool(present) != bool(instances):
         raise click.UsageError("--present and --instances go together")
     changed = read_documents(files, key)
-    configured = configuration_of(desk, present, instances)
+    configured = configuration_of(context, present, instances)
     for name in sorted(changed.keys() - configured.values.entries.keys()):
         click.echo(f"warning: {name} is a new document", err=True)
     found = preview.preview(configured, changed)
-    counts = flow_counts(desk, found) if flows else {}
+    counts = flow_counts(context, found) if flows else {}
     if as_json:
         shell.print_json(preview.as_json(found, counts))
     else:
@@ -73,17 +73,17 @@
 
 
 def configuration_of(
-    desk: shell.Desk, present: abc.Sequence[str], instances: str | None
+    context: shell.QueryContext, present: abc.Sequence[str], instances: str | None
 ) -> configuration.Configuration:
     """Return what is in force now, by the files or by the platform."""
     if instances is not None:
         values = [(k, PRESENT_REVISION, v) for k, v in read_documents(present).items()]
         listed = read_instances(instances)
         return directory.make_configuration(PRESENT_REVISION, values, listed, PRESENT_REVISION)
-    if desk.platform is None:
+    if context.platform is None:
         reason = "the settings name no platform; give --present and --instances"
         raise errors.PlatformError(reason, step=STEP, peer="platform")
-    return directory.read_configuration(desk.platform, desk.deadline())
+    return directory.read_configuration(context.platform, context.deadline())
 
 
 def read_instances(file: str) -> list[platform_client.Instance]:
@@ -96,13 +96,13 @@
         raise errors.SettingsError(faults, step=STEP, peer=file) from error
 
 
-def flow_counts(desk: shell.Desk, found: preview.Preview) -> dict[str, int | None]:
+def flow_counts(context: shell.QueryContext, found: preview.Preview) -> dict[str, int | None]:
     """Return how many flows each upstream that would leave a service holds now."""
     leaving = {name for change in found.changes for name in change.leave}
     if not leaving:
         return {}
-    asked = [p for p in desk.processes() if p.name in leaving]
-    replies = desk.client.ask_all(asked, messages.StatusRequest)
+    asked = [p for p in context.find_processes() if p.name in leaving]
+    replies = context.client.ask_all(asked, messages.StatusRequest)
     return {
         reply.process.name: reply.answer.flows
         for reply in replies
--- a/src/ebonystile/commands/shell.py
+++ b/src/ebonystile/commands/shell.py
@@ -22,16 +22,16 @@
 from ebonystile.operator import client, directory, messages
 from ebonystile.platform import client as platform_client
 
-CLEAN = 0
+SUCCESS = 0
 FAILURE = 1
-REFUSED = 2
+INVALID_INPUT = 2
 """Exit statuses: done; couldn't be done; settings, documents or the command line are wrong."""
 
 CONTEXT = {"help_option_names": ["-h", "--help"]}
 SETTINGS_VARIABLE = "EBONYSTILE_SETTINGS"
 
 
-def telling_errors(function: abc.Callable) -> abc.Callable:
+def report_errors(function: abc.Callable) -> abc.Callable:
     """Return the command with errors that are no bugs told as lines and as an exit status."""
 
     @functools.wraps(function)
@@ -41,7 +41,7 @@
         except errors.SettingsError as error:
             for fault in error.faults:
                 click.echo(f"{error.peer}: {fault}", err=True)
-            raise click.exceptions.Exit(REFUSED) from error
+            raise click.exceptions.Exit(INVALID_INPUT) from error
         except errors.EbonystileError as error:
             click.echo(f"error: {error}", err=True)
             raise click.exceptions.Exit(FAILURE) from error
@@ -49,7 +49,7 @@
     return command
 
 
-def texts_of(files: abc.Sequence[typing.TextIO]) -> abc.Iterator[str]:
+def iter_lines(files: abc.Sequence[typing.TextIO]) -> abc.Iterator[str]:
     """Return the lines of all files, one after the other, or those of standard input."""
     return itertools.chain.from_iterable(files or (sys.stdin,))
 
@@ -58,7 +58,7 @@
     """Return a decorator that makes a function of a settings file the command of a program."""
 
     def decorate(function: abc.Callable) -> click.Command:
-        command = telling_errors(function)
+        command = report_errors(function)
         command = click.version_option(ebonystile.__version__, prog_name=name)(command)
         command = click.option(
             "--settings",
@@ -112,8 +112,8 @@
             self.fail(f'"{value}" is not hexadecimal digits in pairs', param, ctx)
 
 
-def asking(function: abc.Callable) -> abc.Callable:
-    """Give a command the options of those that ask processes, and a `Desk` made of them."""
+def with_query_options(function: abc.Callable) -> abc.Callable:
+    """Give a command the options of those that ask processes, and a `QueryContext` made of them."""
 
     @click.option(
         "--settings",
@@ -131,29 +131,29 @@
         help="Ask only this process; may be repeated. Without it the platform's list is asked.",
     )
     @click.option("--wait-ms", type=click.IntRange(1), help="Longest wait for each process.")
-    @telling_errors
+    @report_errors
     @functools.wraps(function)
     def command(path, addresses, wait_ms, **kwargs):
-        desk = make_desk(settings.read_operator(path), addresses, wait_ms)
-        return function(desk, **kwargs)
+        context = make_query_context(settings.read_operator(path), addresses, wait_ms)
+        return function(context, **kwargs)
 
     return command
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Desk:
+class QueryContext:
     """What a command needs to ask the platform and the processes."""
 
     client: client.Client
     platform: platform_client.Platform | None
-    known: tuple[view.Address, ...]
-    chosen: tuple[view.Address, ...]
+    seeds: tuple[view.Address, ...]
+    selected: tuple[view.Address, ...]
 
-    def processes(self) -> list[client.Process]:
+    def find_processes(self) -> list[client.Process]:
         """Return the processes to ask; raise `PeerError` where none is known."""
-        if self.chosen:
-            return directory.named(self.chosen)
-        found = directory.find(self.client, self.platform, self.known)
+        if self.selected:
+            return directory.processes_at(self.selected)
+        found = directory.find(self.client, self.platform, self.seeds)
         for warning in found.warnings:
             click.echo(f"warning: {warning}", err=True)
         if not found.processes:
@@ -161,9 +161,9 @@
             raise errors.PeerError(reason, step="find processes", peer="platform")
         return list(found.processes)
 
-    def ask(self, make: client.MakeQuestion) -> list[client.Reply]:
+    def query_all(self, make: client.QuestionFactory) -> list[client.Reply]:
         """Ask all processes; raise `PeerError` where not one of them answers."""
-        replies = self.client.ask_all(self.processes(), make)
+        replies = self.client.ask_all(self.find_processes(), make)
         if all(reply.answer is None for reply in replies):
             first = replies[0]
             reason = f"none of {len(replies)} processes answered; the first: {first.error}"
@@ -175,13 +175,13 @@
         return clock.now() + self.client.wait_ms
 
 
-def make_desk(
+def make_query_context(
     read: settings.OperatorSettings,
     addresses: abc.Sequence[view.Address],
     wait_ms: int | None,
-) -> Desk:
-    """Return a desk by the settings, with what the command line puts in their place."""
-    asking_client = client.make_client(
+) -> QueryContext:
+    """Return a context by the settings, with what the command line puts in their place."""
+    query_client = client.make_client(
         read.keys,
         wait_ms=wait_ms or read.wait_ms,
         parallel=read.parallel,
@@ -190,7 +190,7 @@
     platform = None
     if read.platform is not None:
         platform = platform_client.make_platform(read.platform, clock.now)
-    return Desk(asking_client, platform, tuple(read.processes), tuple(addresses))
+    return QueryContext(query_client, platform, tuple(read.processes), tuple(addresses))
 
 
 def print_json(value: typing.Any) -> None:
@@ -198,7 +198,7 @@
     click.echo(json.dumps(value))
 
 
-def id_or_fail(value: bytes, name: str) -> bytes:
+def require_full_id(value: bytes, name: str) -> bytes:
     """Return a whole id; a command that needs one can't do with its beginning."""
     if len(value) != messages.ID_BYTES:
         raise click.BadParameter(f"{name} is {2 * messages.ID_BYTES} hexadecimal digits")
--- a/src/ebonystile/commands/status.py
+++ b/src/ebonystile/commands/status.py
@@ -8,14 +8,14 @@
 
 @click.command("status")
 @click.option("--json", "as_json", is_flag=True, help="Print a JSON array, one object a process.")
-@shell.asking
-def show(desk, as_json):
+@shell.with_query_options
+def show(context, as_json):
     """Show every process in one table.
 
     A * after a revision marks one that is behind. A process that doesn't answer is shown as
     unreachable; if none answers, the exit status is 1.
     """
-    replies = desk.ask(messages.StatusRequest)
+    replies = context.query_all(messages.StatusRequest)
     if as_json:
         shell.print_json(status.as_json(replies))
     else:
--- a/src/ebonystile/commands/timeline.py
+++ b/src/ebonystile/commands/timeline.py
@@ -23,15 +23,15 @@
     help="Most events of each process, the newest.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object a line.")
-@shell.asking
-def show(desk, flow, request, upstream, event, last_s, limit, as_json):
+@shell.with_query_options
+def show(context, flow, request, upstream, event, last_s, limit, as_json):
     """Show the events of all processes, merged into one ordered time line.
 
     Ids may be cut short: a filter takes every id that begins so. A ~ before a time marks an event
     whose own clock is behind those of the events before it.
     """
     since = clock.now() - 1000 * last_s if last_s else 0
-    replies = desk.ask(
+    replies = context.query_all(
         functools.partial(
             messages.EventsRequest,
             flow=flow,
@@ -42,7 +42,7 @@
             limit=limit,
         )
     )
-    records = events.merged(replies)
+    records = events.merge_records(replies)
     if as_json:
         for record in records:
             shell.print_json(events.object_of(record))
--- a/src/ebonystile/commands/trace.py
+++ b/src/ebonystile/commands/trace.py
@@ -9,14 +9,14 @@
 @click.command("trace")
 @click.argument("flow")
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
-@shell.telling_errors
+@shell.report_errors
 def show(flow, logs):
     """Tell what became of FLOW by the LOGS of all processes, or by standard input.
 
     FLOW is `caller>route`, each as ip:port, as the caller's own log names its connection. Lines of
     all processes are put in order by their clocks, which may differ by some ms.
     """
-    lines = carried.select(shell.texts_of(logs), carried.Filter(flow=flow))
+    lines = carried.select(shell.iter_lines(logs), carried.Filter(flow=flow))
     for line in lines:
-        click.echo(carried.text_of(line, without="flow"))
-    click.echo(carried.conclusion(lines))
+        click.echo(carried.format_line(line, without="flow"))
+    click.echo(carried.final_decision(lines))
--- a/src/ebonystile/operator/carried.py
+++ b/src/ebonystile/operator/carried.py
@@ -7,10 +7,10 @@
 
 from ebonystile.operator import events
 
-PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
+FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 """One key with its value; whatever stands before the first pair of a line is passed over."""
 
-SENTENCES = {
+SENTENCE_BY_EVENT = {
     "opened": "It was placed on {upstream} at cost {cost}: {answered} of {asked} sidecars answered "
     "within {searched_ms} ms (copy {copy} of the opening packet, configuration {version}).",
     "not_placed": "It was not placed: {answered} of {asked} sidecars answered within "
@@ -41,7 +41,7 @@
 
     def sentence(self) -> str:
         """Return what the event means, or nothing for one that decides nothing."""
-        template = SENTENCES.get(self.event, "")
+        template = SENTENCE_BY_EVENT.get(self.event, "")
         return template.format_map(Fields(self.fields))
 
 
@@ -54,7 +54,7 @@
 
 def parse(text: str) -> Line | None:
     """Return the line of a log, or None for other text."""
-    fields = {key: value_of(value) for key, value in PAIR.findall(text)}
+    fields = {key: unquote(value) for key, value in FIELD_PATTERN.findall(text)}
     time_ms = fields.pop("time_ms", "")
     if not time_ms.isdigit() or "event" not in fields:
         return None
@@ -62,7 +62,7 @@
     return Line(int(time_ms), fields.pop("process", UNKNOWN), fields.pop("event"), fields)
 
 
-def value_of(text: str) -> str:
+def unquote(text: str) -> str:
     """Return a value without its quotes."""
     if not text.startswith('"'):
         return text
@@ -83,7 +83,7 @@
     since: int = 0
     until: int | None = None
 
-    def takes(self, line: Line) -> bool:
+    def matches(self, line: Line) -> bool:
         """Tell whether a line is wanted."""
         wanted = (
             (self.process, line.process),
@@ -98,23 +98,25 @@
 def select(texts: typing.Iterable[str], wanted: Filter) -> list[Line]:
     """Return the wanted lines in the order of their times."""
     lines = (parse(text) for text in texts if wanted.flow in text)
-    return sorted((line for line in lines if line is not None and wanted.takes(line)), key=by_time)
+    return sorted(
+        (line for line in lines if line is not None and wanted.matches(line)), key=line_time
+    )
 
 
-def text_of(line: Line, *, without: str = "") -> str:
+def format_line(line: Line, *, without: str = "") -> str:
     """Return a line as it is shown, `without` one of its fields."""
     rest = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != without)
     return f"{events.time_text(line.time_ms)}  {line.process:20} {line.event:14} {rest}"
 
 
-def by_time(line: Line) -> int:
+def line_time(line: Line) -> int:
     """Return the time of a line."""
     return line.time_ms
 
 
-def conclusion(lines: list[Line]) -> str:
+def final_decision(lines: list[Line]) -> str:
     """Return the sentence on the last decision about the flow."""
-    decided = [line for line in lines if line.event in SENTENCES]
+    decided = [line for line in lines if line.event in SENTENCE_BY_EVENT]
     if not decided:
         return "No process has logged a decision about it; see lines_suppressed for that second."
     last = decided[-1]
--- a/src/ebonystile/operator/causes.py
+++ b/src/ebonystile/operator/causes.py
@@ -17,34 +17,34 @@
 class Cause(enum.Enum):
     """Why callers of a flow had to wait, or were not served."""
 
-    TOLD = "lost, caller told"
-    NOT_TOLD = "lost or silent, caller not told"
-    FOUND = "found after a search in vain"
+    LOST_RESET = "lost, caller told"
+    LOST_NO_RESET = "lost or silent, caller not told"
+    FOUND_LATE = "found after a search in vain"
     UPSTREAM_LOST = "upstream lost it, caller told"
     NO_ROUTE = "no route"
     NO_UPSTREAM = "no upstream took it"
     REFUSED = "refused once, then placed"
-    HELD = "held back, then placed"
+    DEFERRED = "held back, then placed"
 
 
-TELLING = {
+CAUSE_BY_EVENT = {
     "flow_lost": Cause.UPSTREAM_LOST,
     "not_placed": Cause.NO_UPSTREAM,
     "open_refused": Cause.REFUSED,
     "open_returned": Cause.REFUSED,
-    "held": Cause.HELD,
+    "held": Cause.DEFERRED,
 }
 """What a single event says of the flow, where no later one says more."""
 
-SIGNS = frozenset({*TELLING, "not_found", "flow_reset"})
+DISRUPTION_EVENTS = frozenset({*CAUSE_BY_EVENT, "not_found", "flow_reset"})
 """Events that show trouble."""
 
-WAITED = frozenset({Cause.REFUSED, Cause.HELD})
+DELAY_CAUSES = frozenset({Cause.REFUSED, Cause.DEFERRED})
 """Causes that end with the placing of the flow."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trouble:
+class Disruption:
     """One flow's trouble: when it began, and how long until its caller was told or served (ms)."""
 
     flow: str
@@ -67,41 +67,41 @@
     longest: int
 
 
-def troubles(lines: typing.Iterable[carried.Line]) -> list[Trouble]:
+def find_disruptions(lines: typing.Iterable[carried.Line]) -> list[Disruption]:
     """Return the troubles that lines in the order of their times tell of, the first ones first."""
     by_flow: dict[str, list[carried.Line]] = collections.defaultdict(list)
     for line in lines:
         flow = line.fields.get("flow")
         if flow is not None:
             by_flow[flow].append(line)
-    found = [trouble_of(flow, told) for flow, told in by_flow.items()]
+    found = [disruption_of(flow, told) for flow, told in by_flow.items()]
     return sorted((one for one in found if one is not None), key=lambda one: one.began)
 
 
-def trouble_of(flow: str, lines: list[carried.Line]) -> Trouble | None:
+def disruption_of(flow: str, lines: list[carried.Line]) -> Disruption | None:
     """Return the trouble that a flow's lines tell of, if there was any."""
-    first = next((line for line in lines if line.event in SIGNS), None)
+    first = next((line for line in lines if line.event in DISRUPTION_EVENTS), None)
     if first is None:
         return None
     after = lines[lines.index(first) :]
-    cause, end = ending(after)
-    return Trouble(flow, cause, first.time_ms, end.time_ms - first.time_ms)
+    cause, end = outcome_of(after)
+    return Disruption(flow, cause, first.time_ms, end.time_ms - first.time_ms)
 
 
-def ending(lines: list[carried.Line]) -> tuple[Cause, carried.Line]:
+def outcome_of(lines: list[carried.Line]) -> tuple[Cause, carried.Line]:
     """Return the cause, and the line that ended the trouble, from its first sign on."""
     waits_for = None
     for line in lines:
         told = cause_of(line)
-        if told in WAITED:
+        if told in DELAY_CAUSES:
             waits_for = told
         elif told is not None:
             return told, line
         elif line.event == "found":
-            return Cause.FOUND, line
+            return Cause.FOUND_LATE, line
         elif line.event == "opened" and waits_for is not None:
             return waits_for, line
-    return Cause.NOT_TOLD, lines[-1]
+    return Cause.LOST_NO_RESET, lines[-1]
 
 
 def cause_of(line: carried.Line) -> Cause | None:
@@ -109,11 +109,11 @@
     if line.event == "flow_reset":
         return Cause.NO_ROUTE if line.fields.get("reason") == "no_route" else Cause.NO_UPSTREAM
     if line.event == "not_found":
-        return Cause.TOLD if line.fields.get("reset") == "true" else None
-    return TELLING.get(line.event)
+        return Cause.LOST_RESET if line.fields.get("reset") == "true" else None
+    return CAUSE_BY_EVENT.get(line.event)
 
 
-def rows(found: typing.Iterable[Trouble], span_ms: int) -> list[Row]:
+def rows(found: typing.Iterable[Disruption], span_ms: int) -> list[Row]:
     """Return the troubles by span and cause, the earliest and then the most frequent first."""
     groups: dict[tuple[int, Cause], list[int]] = collections.defaultdict(list)
     for one in found:
--- a/src/ebonystile/operator/client.py
+++ b/src/ebonystile/operator/client.py
@@ -32,7 +32,7 @@
     error: str = ""
 
 
-MakeQuestion = abc.Callable[[bytes], messages.Question]
+QuestionFactory = abc.Callable[[bytes], messages.Question]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     wait_ms: int
     parallel: int
 
-    def ask_all(self, processes: abc.Sequence[Process], make: MakeQuestion) -> list[Reply]:
+    def ask_all(self, processes: abc.Sequence[Process], make: QuestionFactory) -> list[Reply]:
         """Ask every process the same and return a reply for each, in the given order.
 
         `wait_ms` bounds each exchange. Where there are more processes than `parallel`, they are
@@ -55,14 +55,14 @@
         with futures.ThreadPoolExecutor(min(self.parallel, len(processes))) as pool:
             return list(pool.map(lambda process: self.ask(process, make), processes))
 
-    def ask(self, process: Process, make: MakeQuestion) -> Reply:
+    def ask(self, process: Process, make: QuestionFactory) -> Reply:
         """Ask one process."""
         try:
             return Reply(process, self.exchange(process, make))
         except errors.EbonystileError as error:
             return Reply(process, None, error.reason)
 
-    def exchange(self, process: Process, make: MakeQuestion) -> messages.Answer:
+    def exchange(self, process: Process, make: QuestionFactory) -> messages.Answer:
         """Return the answer of one process; raise an `EbonystileError` where there is none."""
         question = make(self.randomness.randbytes(messages.ID_BYTES))
         own_seal = seal.make_seal(self.keys, self.randomness.getrandbits(64))
--- a/src/ebonystile/operator/directory.py
+++ b/src/ebonystile/operator/directory.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class Discovery:
     """The processes to ask, and what went wrong on the way to them."""
 
     processes: tuple[client.Process, ...]
@@ -25,31 +25,31 @@
 
 
 def find(
-    asking: client.Client,
+    query_client: client.Client,
     platform: platform_client.Platform | None,
-    known: abc.Sequence[view.Address],
-) -> Found:
-    """Return the processes of the platform's list, or those that the `known` ones tell of."""
+    seeds: abc.Sequence[view.Address],
+) -> Discovery:
+    """Return the processes of the platform's list, or those that the `seeds` name."""
     warnings = []
     if platform is not None:
         try:
-            entries = listed(platform, clock.now() + asking.wait_ms)
-            return Found(tuple(process_of(entry) for entry in entries if entry.state != "gone"))
+            entries = read_instance_list(platform, clock.now() + query_client.wait_ms)
+            return Discovery(tuple(process_of(entry) for entry in entries if entry.state != "gone"))
         except errors.PlatformError as error:
             warnings.append(f"the platform's list can't be read: {error.reason}")
-    replies = asking.ask_all(named(known), messages.ProcessesRequest)
+    replies = query_client.ask_all(processes_at(seeds), messages.ProcessesRequest)
     warnings += [f"{r.process.name} did not answer: {r.error}" for r in replies if r.error]
-    return Found(tuple(told(replies)), tuple(warnings))
+    return Discovery(tuple(processes_from_replies(replies)), tuple(warnings))
 
 
-def listed(
+def read_instance_list(
     platform: platform_client.Platform, wait_until: int
 ) -> tuple[platform_client.Instance, ...]:
     """Return the whole list of instances; raise `PlatformError`."""
-    return whole(platform.instances, wait_until).entries
+    return read_all_pages(platform.instances, wait_until).entries
 
 
-def whole(read: abc.Callable[[int, int], Page], wait_until: int) -> Page:
+def read_all_pages(read: abc.Callable[[int, int], Page], wait_until: int) -> Page:
     """Return all pages of the list or of the values as one; raise `PlatformError`."""
     page = read(0, clock.now())
     entries = list(page.entries)
@@ -67,12 +67,12 @@
     return client.Process(entry.name, ROLES[entry.role], entry.address)
 
 
-def named(addresses: abc.Iterable[view.Address]) -> list[client.Process]:
+def processes_at(addresses: abc.Iterable[view.Address]) -> list[client.Process]:
     """Return processes of which only the addresses are known."""
     return [client.Process(f"{host}:{port}", "", (host, port)) for host, port in addresses]
 
 
-def told(replies: abc.Iterable[client.Reply]) -> list[client.Process]:
+def processes_from_replies(replies: abc.Iterable[client.Reply]) -> list[client.Process]:
     """Return every process that an answer names or that answered, one for each address."""
     by_address: dict[view.Address, client.Process] = {}
     for reply in replies:
@@ -87,8 +87,8 @@
     platform: platform_client.Platform, wait_until: int
 ) -> configuration.Configuration:
     """Return the configuration as the platform publishes it now; raise `PlatformError`."""
-    values = whole(platform.watch, wait_until)
-    instances = whole(platform.instances, wait_until)
+    values = read_all_pages(platform.watch, wait_until)
+    instances = read_all_pages(platform.instances, wait_until)
     return make_configuration(
         values.revision,
         [(value.key, value.revision, value.value) for value in values.entries],
--- a/src/ebonystile/operator/events.py
+++ b/src/ebonystile/operator/events.py
@@ -11,20 +11,20 @@
 SHORT_ID = 8
 """Digits of an id that the table shows; as a filter they are enough."""
 
-LATER = "~"
+OUT_OF_ORDER_MARK = "~"
 """Mark of a record that stands after its cause although its own clock says earlier."""
 
 
-def merged(replies: typing.Iterable[client.Reply]) -> list[timeline.Record]:
+def merge_records(replies: typing.Iterable[client.Reply]) -> list[timeline.Record]:
     """Return the records of all answers in one order; damaged ones are left out."""
     records = []
     for reply in replies:
         if isinstance(reply.answer, messages.Events):
-            records += [r for r in map(decoded, reply.answer.records) if r is not None]
+            records += [r for r in map(decode_record, reply.answer.records) if r is not None]
     return timeline.merge(records)
 
 
-def decoded(data: bytes) -> timeline.Record | None:
+def decode_record(data: bytes) -> timeline.Record | None:
     """Return the record, or None where a newer release speaks of things unknown here."""
     try:
         return messages.RECORDS.decode(data)
@@ -45,7 +45,7 @@
 def row(record: timeline.Record, *, late: bool) -> list[str]:
     """Return the cells of one record."""
     return [
-        (LATER if late else "") + time_text(record.time),
+        (OUT_OF_ORDER_MARK if late else "") + time_text(record.time),
         record.process,
         record.event,
         record.flow.hex()[:SHORT_ID],
--- a/src/ebonystile/operator/explain.py
+++ b/src/ebonystile/operator/explain.py
@@ -48,8 +48,8 @@
         f"service {route.service}, flow {route.flow.hex()}, revision {route.revision}",
         *ranking_lines(route),
         *holder_lines(route),
-        *sending_lines(route),
-        *doubt_lines(route),
+        *routing_lines(route),
+        *caveat_lines(route),
     ]
 
 
@@ -80,7 +80,7 @@
     ]
 
 
-def sending_lines(route: Route) -> list[str]:
+def routing_lines(route: Route) -> list[str]:
     """Tell where balancers send the flow's packets, those of one mind on one line."""
     by_way: dict[tuple[str, str], list[str]] = {}
     for e in (*route.newest, *route.behind):
@@ -92,7 +92,7 @@
     ]
 
 
-def doubt_lines(route: Route) -> list[str]:
+def caveat_lines(route: Route) -> list[str]:
     """Tell what may make the rest untrue."""
     behind = [f"{e.process} is at revision {e.revision}" for e in route.behind]
     silent = [f"{r.process.name} did not answer: {r.error}" for r in route.silent]
--- a/src/ebonystile/operator/preview.py
+++ b/src/ebonystile/operator/preview.py
@@ -51,10 +51,10 @@
         faults = [f"{refusal.key}: {fault}" for refusal in refusals for fault in refusal.faults]
         raise errors.SettingsError(faults, step=STEP, peer=", ".join(changed))
     new_conflicts = [line for line in present.conflicts() if line not in conflicts]
-    return compare(before, present.view, [*new_conflicts, *unlisted(present, changed)])
+    return compare(before, present.view, [*new_conflicts, *warn_unlisted(present, changed)])
 
 
-def unlisted(
+def warn_unlisted(
     present: configuration.Configuration, changed: abc.Mapping[str, typing.Any]
 ) -> list[str]:
     """Return a warning for each labelled instance that the platform's list doesn't have."""
@@ -79,7 +79,7 @@
     warnings = [warning for change in changes for warning in warnings_of(change)]
     return Preview(
         tuple(changes),
-        (*warnings, *unserved(before, after), *remarks),
+        (*warnings, *warn_unserved(before, after), *remarks),
         len(names) - len(changes),
     )
 
@@ -90,8 +90,8 @@
     """Return how one service differs, or None where it doesn't."""
     if before == after:
         return None
-    had = takers(before)
-    has = takers(after)
+    had = accepting_upstreams(before)
+    has = accepting_upstreams(after)
     return ServiceChange(
         name,
         len(had) if before else None,
@@ -103,7 +103,7 @@
     )
 
 
-def takers(service: view.Service | None) -> set[str]:
+def accepting_upstreams(service: view.Service | None) -> set[str]:
     """Return the names of the upstreams that take new work for the service."""
     return {upstream.name for upstream in service.accepting} if service else set()
 
@@ -122,7 +122,7 @@
     return found
 
 
-def unserved(before: view.View, after: view.View) -> list[str]:
+def warn_unserved(before: view.View, after: view.View) -> list[str]:
     """Return a warning for each upstream that would serve nothing any more."""
     served = {u.name for s in before.services.values() for u in s.upstreams}
     serving = {u.name for s in after.services.values() for u in s.upstreams}
--- a/src/ebonystile/operator/reference.py
+++ b/src/ebonystile/operator/reference.py
@@ -37,9 +37,9 @@
 """
 
 
-TABLE_RULE = "| --- | --- | --- | --- |"
+TABLE_SEPARATOR = "| --- | --- | --- | --- |"
 
-CARRIERS = """## Daemons on the users' platform
+CARRIER_HEAD = """## Daemons on the users' platform
 
 `python3 -m ebonystile.carrier balancer` and `... sidecar` read the file that `EBONYSTILE_NODE_FILE`
 names, plain JSON, at the start, at SIGHUP and when it changes. The platform fills it in from
@@ -66,14 +66,16 @@
 def section(title: str, model: type[pydantic.BaseModel]) -> str:
     """Return the table of one model."""
     rows = [row(name, field) for name, field in model.model_fields.items()]
-    head = ["| key | form | default | meaning |", TABLE_RULE]
+    head = ["| key | form | default | meaning |", TABLE_SEPARATOR]
     return "\n".join([f"## {title}", "", *head, *rows, ""])
 
 
 def carrier_section(carriers: abc.Sequence[Setting]) -> str:
     """Return the table of the daemons on the users' platform, whose file that platform fills in."""
     rows = [f"| `{one.name}` | {one.form} | {one.need} | {one.meaning} |" for one in carriers]
-    return "\n".join([CARRIERS, "| key | form | default | meaning |", TABLE_RULE, *rows, ""])
+    return "\n".join(
+        [CARRIER_HEAD, "| key | form | default | meaning |", TABLE_SEPARATOR, *rows, ""]
+    )
 
 
 def row(name: str, field: fields.FieldInfo) -> str:
--- a/src/ebonystile/operator/status.py
+++ b/src/ebonystile/operator/status.py
@@ -20,10 +20,10 @@
     "LEAVING",
     "SUSPECTED",
 )
-BEHIND = "*"
+STALE_MARK = "*"
 """Mark of a revision lower than the highest that any process shows."""
 
-UNREACHABLE = "unreachable: "
+UNREACHABLE_PREFIX = "unreachable: "
 UNITS = ((86_400, "d"), (3_600, "h"), (60, "m"))
 
 
@@ -47,16 +47,16 @@
     address = f"{process.address[0]}:{process.address[1]}"
     if not isinstance(status, messages.Status):
         cells = [process.name, process.role, "", address]
-        return [*cells, *[""] * (len(HEADERS) - 6), UNREACHABLE + reply.error, ""]
+        return [*cells, *[""] * (len(HEADERS) - 6), UNREACHABLE_PREFIX + reply.error, ""]
     return [
         status.process,
         status.role,
         status.zone,
         address,
-        f"{status.revision}{BEHIND if status.revision < newest else ''}",
+        f"{status.revision}{STALE_MARK if status.revision < newest else ''}",
         str(status.instances_revision),
         f"{status.incarnation:016x}",
-        span(status.now - status.started),
+        format_duration(status.now - status.started),
         str(status.flows),
         str(status.running),
         str(status.queued),
@@ -70,7 +70,7 @@
     lines = []
     behind = sum(status.revision < newest for status in answers(replies))
     if behind:
-        lines.append(f"{BEHIND} {behind} behind revision {newest}")
+        lines.append(f"{STALE_MARK} {behind} behind revision {newest}")
     silent = len(replies) - len(answers(replies))
     if silent:
         lines.append(f"{silent} of {len(replies)} did not answer")
@@ -79,7 +79,7 @@
     return lines
 
 
-def span(duration: int) -> str:
+def format_duration(duration: int) -> str:
     """Return a duration in ms as people write it, in its largest unit."""
     seconds = max(0, duration) // 1000
     for size, unit in UNITS:
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -12,12 +12,14 @@
 
 
 def only(*lines):
-    (trouble,) = causes.troubles(lines)
+    (trouble,) = causes.find_disruptions(lines)
     return trouble.cause, trouble.began, trouble.lasted
 
 
 def test_a_flow_that_was_placed_and_found_at_once_had_no_trouble():
-    assert causes.troubles([line(1, "opened"), line(900, "found"), line(901, "probed")]) == []
+    assert (
+        causes.find_disruptions([line(1, "opened"), line(900, "found"), line(901, "probed")]) == []
+    )
 
 
 def test_a_lost_flow_counts_from_the_first_search_in_vain_until_its_caller_was_told():
@@ -26,22 +28,22 @@
         line(1_000, "not_found", reset="false"),
         line(1_400, "not_found", reset="true"),
     ]
-    assert only(*told) == (causes.Cause.TOLD, 1_000, 400)
+    assert only(*told) == (causes.Cause.LOST_RESET, 1_000, 400)
 
 
 def test_a_flow_whose_caller_never_hears_counts_as_not_told():
     silent = [line(1_000, "not_found", reset="false"), line(1_600, "not_found", reset="false")]
-    assert only(*silent) == (causes.Cause.NOT_TOLD, 1_000, 600)
+    assert only(*silent) == (causes.Cause.LOST_NO_RESET, 1_000, 600)
 
 
 def test_a_flow_found_after_a_search_in_vain_was_served_late():
     found = [line(1_000, "not_found", reset="false"), line(1_200, "found")]
-    assert only(*found) == (causes.Cause.FOUND, 1_000, 200)
+    assert only(*found) == (causes.Cause.FOUND_LATE, 1_000, 200)
 
 
 @pytest.mark.parametrize(
     ("event", "cause"),
-    [("held", causes.Cause.HELD), ("open_returned", causes.Cause.REFUSED)],
+    [("held", causes.Cause.DEFERRED), ("open_returned", causes.Cause.REFUSED)],
 )
 def test_a_new_flow_that_had_to_wait_counts_until_it_was_placed(event, cause):
     assert only(line(1_000, event), line(1_025, "opened")) == (cause, 1_000, 25)
@@ -62,10 +64,10 @@
     lines = [line(2_100 + n, "flow_lost", flow=f"f{n}") for n in range(3)]
     lines += [line(2_500, "held", flow="g"), line(2_900, "opened", flow="g")]
     lines += [line(4_100, "flow_lost", flow="h")]
-    table = causes.rows(causes.troubles(lines), 2_000)
+    table = causes.rows(causes.find_disruptions(lines), 2_000)
     assert [(row.began, row.cause, row.flows, row.longest) for row in table] == [
         (2_000, causes.Cause.UPSTREAM_LOST, 3, 0),
-        (2_000, causes.Cause.HELD, 1, 400),
+        (2_000, causes.Cause.DEFERRED, 1, 400),
         (4_000, causes.Cause.UPSTREAM_LOST, 1, 0),
     ]
 
@@ -89,4 +91,8 @@
 
 
 def test_a_new_flow_that_was_held_back_and_then_heard_of_no_more_was_not_told():
-    assert only(line(1_000, "held"), line(1_300, "held")) == (causes.Cause.NOT_TOLD, 1_000, 300)
+    assert only(line(1_000, "held"), line(1_300, "held")) == (
+        causes.Cause.LOST_NO_RESET,
+        1_000,
+        300,
+    )
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -50,7 +50,7 @@
 
 
 @pytest.fixture
-def desk(tmp_path):
+def addresses(tmp_path):
     """Give the addresses of a balancer, a sidecar and a port where nobody answers."""
     sidecar = test_answers.make_subject(answers.SIDECAR)
     test_answers.hold_flow(sidecar)
@@ -68,15 +68,17 @@
     return path
 
 
-def text_of(address):
+def address_text(address):
     return f"{address[0]}:{address[1]}"
 
 
 @pytest.fixture
-def options(tmp_path, desk):
+def options(tmp_path, addresses):
     """Options that name the three processes without a platform."""
-    path = write(tmp_path, "op.json", {"processes": [text_of(desk["balancer"])], "keys": KEYS})
-    named = [x for address in desk.values() for x in ("--process", text_of(address))]
+    path = write(
+        tmp_path, "op.json", {"processes": [address_text(addresses["balancer"])], "keys": KEYS}
+    )
+    named = [x for address in addresses.values() for x in ("--process", address_text(address))]
     return ["--settings", path, *named]
 
 
@@ -128,21 +130,21 @@
     assert told in result.output and "Traceback" not in result.output
 
 
-def test_a_foreign_key_gets_no_answer(tmp_path, desk):
+def test_a_foreign_key_gets_no_answer(tmp_path, addresses):
     path = write(tmp_path, "op.json", {"processes": ["127.0.0.1:1"], "keys": OTHER_KEYS})
-    result = run("status", "--settings", path, "--process", text_of(desk["sidecar"]))
+    result = run("status", "--settings", path, "--process", address_text(addresses["sidecar"]))
     assert result.exit_code == 1
     assert "none of 1 processes answered" in result.output
 
 
-def test_processes_come_from_the_platform_or_else_from_a_process(tmp_path, desk, children):
+def test_processes_come_from_the_platform_or_else_from_a_process(tmp_path, addresses, children):
     """The platform lists the processes; then it is down, and a process names the others."""
     platform = children.start_platform()
     for name, role in (("b1", "balancer"), ("u1", "upstream")):
-        address = text_of(desk["balancer" if role == "balancer" else "sidecar"])
+        address = address_text(addresses["balancer" if role == "balancer" else "sidecar"])
         processes.publish_instance(platform, name, role, address, "a")
     processes.publish_instance(platform, "old", "upstream", "127.0.0.1:1", "a", "gone")
-    known = [text_of(desk["balancer"])]
+    known = [address_text(addresses["balancer"])]
     value = {"platform": platform.url, "processes": known, "keys": KEYS, "wait_ms": 500}
     path = write(tmp_path, "op.json", value)
     found = json.loads(run("status", "--json", "--settings", path).stdout)
@@ -161,13 +163,13 @@
 ]
 
 
-def test_preview_shows_what_a_selector_would_match_and_move(tmp_path, desk, children):
+def test_preview_shows_what_a_selector_would_match_and_move(tmp_path, addresses, children):
     """The selector is narrowed: u1 with its flow and u2 would leave the service."""
     platform = children.start_platform()
     processes.publish_value(platform, "services/main", SERVICES)
     processes.publish_value(platform, "labels/main", LABELS)
     for instance in INSTANCES:
-        fields = {**instance, "address": text_of(desk["sidecar"])}
+        fields = {**instance, "address": address_text(addresses["sidecar"])}
         platform.post("standin/instances", fields)
     path = write(tmp_path, "op.json", {"platform": platform.url, "keys": KEYS})
     narrowed = {"services": {"s": {"address": "10.1.0.1:1", "selector": {"track": "u3"}}}}
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -85,4 +85,4 @@
     events = run_call(running, "ledger", "balances", "--feed", "--position=3", "--count=4")
     assert [line.split()[0] for line in events.stdout.splitlines()] == ["4", "5", "6", "7"]
     refused = run_call(running, "archive", "photos", "--deadline-ms=300")
-    assert refused.exit_code == call.NOT_RUN
+    assert refused.exit_code == call.EXIT_NOT_RUN
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -58,7 +58,7 @@
     assert line.fields == {"flow": FLOW, "reason": "no_route", "note": 'a "b"\n c'}
 
 
-@pytest.mark.parametrize("event", sorted(carried.SENTENCES))
+@pytest.mark.parametrize("event", sorted(carried.SENTENCE_BY_EVENT))
 def test_every_sentence_can_be_said_with_fields_missing(event):
     assert carried.Line(1, "p", event, {}).sentence()
 
