--- a/src/ebonystile/commands/causes.py
+++ b/src/ebonystile/commands/causes.py
@@ -1,4 +1,4 @@
-"""Sort the flows that had trouble by cause: `ebonystile causes`."""
+"""Group disrupted flows by cause: `ebonystile causes`."""
 
 import click
 
@@ -11,19 +11,23 @@
 
 @click.command("causes")
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
-@click.option("--at", type=shell.MomentType(), help="Only around this time, as lines show it.")
+@click.option("--at", type=shell.MomentType(), help="Only around this time, as log lines show it.")
 @click.option(
-    "--within-s", type=click.IntRange(1), default=5, show_default=True, help="How far around."
+    "--within-s",
+    type=click.IntRange(1),
+    default=5,
+    show_default=True,
+    help="Seconds before and after --at.",
 )
 @click.option(
     "--span-ms", type=click.IntRange(1), default=2_000, show_default=True, help="Length of a span."
 )
 @shell.report_errors
 def show(logs, at, within_s, span_ms):
-    """Tell why callers had to wait or were not served, by the LOGS of all carrying daemons.
+    """Show why callers had to wait or were not served, from the LOGS of all carrying daemons.
 
-    Each flow counts once, in the span in which its trouble began, with the time until its caller
-    was told or served. Lines that the daemons left out (`lines_suppressed`) are missing here too.
+    Each flow counts once, in the span in which its disruption began, with the time until it was
+    reset or served. Lines that the daemons suppressed (`lines_suppressed`) are not counted.
     """
     around = 1000 * within_s
     since, until = (0, None) if at is None else (at - around, at + around)
@@ -33,15 +37,15 @@
         raise errors.UserError(reason, step="read", peer="logs")
     rows = causes.rows(causes.find_disruptions(lines), span_ms)
     if not rows:
-        click.echo("No flow had trouble.")
+        click.echo("No flow was disrupted.")
         return
     cells = [
         (
-            events.time_text(row.began),
+            events.time_text(row.span_start),
             row.cause.value,
             str(row.flows),
-            str(row.middle),
-            str(row.longest),
+            str(row.median_ms),
+            str(row.max_ms),
         )
         for row in rows
     ]
--- a/src/ebonystile/commands/logs.py
+++ b/src/ebonystile/commands/logs.py
@@ -1,4 +1,4 @@
-"""Show what the logs of the carrying daemons tell, in one order: `ebonystile logs`."""
+"""Show the merged logs of the carrying daemons: `ebonystile logs`."""
 
 import click
 
@@ -11,15 +11,19 @@
 @click.option("--process", default="", help="Only lines of this process.")
 @click.option("--event", default="", help="Only events of this name.")
 @click.option("--upstream", default="", help="Only events that name this upstream.")
-@click.option("--at", type=shell.MomentType(), help="Only around this time, as lines show it.")
+@click.option("--at", type=shell.MomentType(), help="Only around this time, as log lines show it.")
 @click.option(
-    "--within-s", type=click.IntRange(1), default=5, show_default=True, help="How far around."
+    "--within-s",
+    type=click.IntRange(1),
+    default=5,
+    show_default=True,
+    help="Seconds before and after --at.",
 )
 @shell.report_errors
 def show(logs, process, event, upstream, at, within_s):
-    """Show what LOGS of the carrying daemons, or standard input, tell, merged into one time line.
+    """Merge LOGS of the carrying daemons, or standard input, into one time line.
 
-    `ebonystile trace` follows one flow. Lines are put in order by their processes' clocks.
+    `ebonystile trace` follows one flow. Lines are ordered by the clocks of their processes.
     """
     around = 1000 * within_s
     since, until = (0, None) if at is None else (at - around, at + around)
--- a/src/ebonystile/commands/trace.py
+++ b/src/ebonystile/commands/trace.py
@@ -11,10 +11,10 @@
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
 @shell.report_errors
 def show(flow, logs):
-    """Tell what became of FLOW by the LOGS of all processes, or by standard input.
+    """Show what became of FLOW, from the LOGS of all processes or standard input.
 
     FLOW is `caller>route`, each as ip:port, as the caller's own log names its connection. Lines of
-    all processes are put in order by their clocks, which may differ by some ms.
+    all processes are ordered by their clocks, which may differ by some ms.
     """
     lines = carried.select(shell.iter_lines(logs), carried.Filter(flow=flow))
     for line in lines:
--- a/src/ebonystile/operator/__init__.py
+++ b/src/ebonystile/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Speak with operators: what they ask the system's processes, and how the answers are shown."""
+"""Query the system's processes for operators, and format the answers."""
--- a/src/ebonystile/operator/carried.py
+++ b/src/ebonystile/operator/carried.py
@@ -1,4 +1,4 @@
-"""Read the logs of the carrying daemons: follow one flow, or show what happened at a time."""
+"""Parse and filter the logs of the carrying daemons, for one flow or a span of time."""
 
 import dataclasses
 import json
@@ -8,31 +8,31 @@
 from ebonystile.operator import events
 
 FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-"""One key with its value; whatever stands before the first pair of a line is passed over."""
+"""Matches one `key=value` pair; text before the first pair of a line is ignored."""
 
 SENTENCE_BY_EVENT = {
     "opened": "It was placed on {upstream} at cost {cost}: {answered} of {asked} sidecars answered "
     "within {searched_ms} ms (copy {copy} of the opening packet, configuration {version}).",
     "not_placed": "It was not placed: {answered} of {asked} sidecars answered within "
-    "{searched_ms} ms, and none of them could take it (caller told: {reset}).",
+    "{searched_ms} ms, and none of them could accept it (caller reset: {reset}).",
     "open_refused": "A sidecar refused it: {reason}.",
-    "open_returned": "Its upstream had no room and returned the opening packet.",
-    "found": "A balancer that did not know it found it at {upstream} after {searched_ms} ms.",
-    "probed": "No sidecar knew it; {upstreams} upstreams with fresh sidecars were probed, "
+    "open_returned": "Its upstream was full and returned the opening packet.",
+    "found": "A balancer without a record of it found it at {upstream} after {searched_ms} ms.",
+    "probed": "No sidecar that answered held it; {upstreams} upstreams were probed, "
     "{unanswered} sidecars did not answer.",
-    "not_found": "Nobody held it: {answered} of {asked} sidecars answered within {searched_ms} ms "
-    "(caller told: {reset}).",
-    "flow_reset": "The caller was told that it has ended: {reason}.",
-    "flow_lost": "Its upstream held it and holds it no more; the caller was told.",
+    "not_found": "It was not found: {answered} of {asked} sidecars answered within "
+    "{searched_ms} ms, and none of them held it (caller reset: {reset}).",
+    "flow_reset": "The caller was reset: {reason}.",
+    "flow_lost": "Its upstream no longer holds it; the caller was reset.",
 }
-"""What each event means for the flow, with the inputs that decided it."""
+"""Templates that describe what an event means for its flow, with the inputs of the decision."""
 
 UNKNOWN = "?"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One line of a log; `time_ms` by the clock of the process that wrote it."""
+    """A parsed log line; `time_ms` is by the clock of the process that wrote it."""
 
     time_ms: int
     process: str
@@ -40,20 +40,20 @@
     fields: dict[str, str]
 
     def sentence(self) -> str:
-        """Return what the event means, or nothing for one that decides nothing."""
+        """Return a description of the event, or an empty string if it has none."""
         template = SENTENCE_BY_EVENT.get(self.event, "")
         return template.format_map(Fields(self.fields))
 
 
 class Fields(dict):
-    """The fields of a line; one that is missing shows as unknown."""
+    """The fields of a line; a missing one is formatted as `UNKNOWN`."""
 
     def __missing__(self, key: str) -> str:
         return UNKNOWN
 
 
 def parse(text: str) -> Line | None:
-    """Return the line of a log, or None for other text."""
+    """Parse a log line; return None for other text."""
     fields = {key: unquote(value) for key, value in FIELD_PATTERN.findall(text)}
     time_ms = fields.pop("time_ms", "")
     if not time_ms.isdigit() or "event" not in fields:
@@ -63,7 +63,7 @@
 
 
 def unquote(text: str) -> str:
-    """Return a value without its quotes."""
+    """Return the value with its JSON quotes removed, or unchanged if it has none."""
     if not text.startswith('"'):
         return text
     try:
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Filter:
-    """Which lines are wanted, empty for all; `since` and `until` in ms since the epoch."""
+    """Selects lines; an empty field matches all. `since` and `until` in ms since the epoch."""
 
     process: str = ""
     event: str = ""
@@ -84,40 +84,40 @@
     until: int | None = None
 
     def matches(self, line: Line) -> bool:
-        """Tell whether a line is wanted."""
-        wanted = (
+        """Return whether the line passes every filter."""
+        pairs = (
             (self.process, line.process),
             (self.event, line.event),
             (self.upstream, line.fields.get("upstream")),
             (self.flow, line.fields.get("flow")),
         )
         in_time = self.since <= line.time_ms and (self.until is None or line.time_ms <= self.until)
-        return in_time and all(not name or name == found for name, found in wanted)
+        return in_time and all(not wanted or wanted == actual for wanted, actual in pairs)
 
 
-def select(texts: typing.Iterable[str], wanted: Filter) -> list[Line]:
-    """Return the wanted lines in the order of their times."""
-    lines = (parse(text) for text in texts if wanted.flow in text)
+def select(texts: typing.Iterable[str], line_filter: Filter) -> list[Line]:
+    """Return the parsed lines that match the filter, ordered by time."""
+    lines = (parse(text) for text in texts if line_filter.flow in text)
     return sorted(
-        (line for line in lines if line is not None and wanted.matches(line)), key=line_time
+        (line for line in lines if line is not None and line_filter.matches(line)), key=line_time
     )
 
 
 def format_line(line: Line, *, without: str = "") -> str:
-    """Return a line as it is shown, `without` one of its fields."""
+    """Format a line for the terminal; `without` names a field to leave out."""
     rest = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != without)
     return f"{events.time_text(line.time_ms)}  {line.process:20} {line.event:14} {rest}"
 
 
 def line_time(line: Line) -> int:
-    """Return the time of a line."""
+    """Return the time of a line, as a sort key."""
     return line.time_ms
 
 
 def final_decision(lines: list[Line]) -> str:
-    """Return the sentence on the last decision about the flow."""
+    """Return a sentence on the last decision about the flow."""
     decided = [line for line in lines if line.event in SENTENCE_BY_EVENT]
     if not decided:
         return "No process has logged a decision about it; see lines_suppressed for that second."
     last = decided[-1]
-    return f"Last word, by {last.process}: {last.sentence()}"
+    return f"Last decision, by {last.process}: {last.sentence()}"
--- a/src/ebonystile/operator/causes.py
+++ b/src/ebonystile/operator/causes.py
@@ -1,8 +1,8 @@
-"""Sort the flows that had trouble by its cause and moment, from the logs of the carrying daemons.
+"""Group disrupted flows by cause and time, from the logs of the carrying daemons.
 
-A flow had trouble if it was looked for in vain, reset, refused or held back. It counts once, at
-the time of the first sign, with what became of it in the end. A request has no id in these logs;
-that of its flow is what a caller's own log names.
+A flow is disrupted if a search for it failed, or if it was reset, refused or deferred. It counts
+once, at the time of its first such event, under its final outcome. These logs have no request ids;
+a flow is identified by its caller's and its route's address, as in the caller's own log.
 """
 
 import collections
@@ -15,16 +15,16 @@
 
 
 class Cause(enum.Enum):
-    """Why callers of a flow had to wait, or were not served."""
+    """Why the caller of a flow had to wait or was not served."""
 
-    LOST_RESET = "lost, caller told"
-    LOST_NO_RESET = "lost or silent, caller not told"
-    FOUND_LATE = "found after a search in vain"
-    UPSTREAM_LOST = "upstream lost it, caller told"
+    LOST_RESET = "lost, caller reset"
+    LOST_NO_RESET = "lost or idle, caller not reset"
+    FOUND_LATE = "found after a failed search"
+    UPSTREAM_LOST = "upstream lost it, caller reset"
     NO_ROUTE = "no route"
-    NO_UPSTREAM = "no upstream took it"
+    NO_UPSTREAM = "no upstream accepted it"
     REFUSED = "refused once, then placed"
-    DEFERRED = "held back, then placed"
+    DEFERRED = "deferred, then placed"
 
 
 CAUSE_BY_EVENT = {
@@ -34,52 +34,55 @@
     "open_returned": Cause.REFUSED,
     "held": Cause.DEFERRED,
 }
-"""What a single event says of the flow, where no later one says more."""
+"""The cause that an event implies on its own; a later event may override a delay."""
 
 DISRUPTION_EVENTS = frozenset({*CAUSE_BY_EVENT, "not_found", "flow_reset"})
-"""Events that show trouble."""
+"""Events that mark a flow as disrupted."""
 
 DELAY_CAUSES = frozenset({Cause.REFUSED, Cause.DEFERRED})
-"""Causes that end with the placing of the flow."""
+"""Causes that only delay a flow until it is placed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disruption:
-    """One flow's trouble: when it began, and how long until its caller was told or served (ms)."""
+    """The disruption of one flow: its start, and its duration until the flow was reset or served.
+
+    `began_at` is in ms since the epoch.
+    """
 
     flow: str
     cause: Cause
-    began: int
-    lasted: int
+    began_at: int
+    duration_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """All troubles of one cause that began in one span of time.
+    """The disruptions of one cause that began within one time span.
 
-    `began` is the start of the span; `middle` and `longest` say how long they lasted. All in ms.
+    `span_start` is in ms since the epoch; `median_ms` and `max_ms` are durations.
     """
 
-    began: int
+    span_start: int
     cause: Cause
     flows: int
-    middle: int
-    longest: int
+    median_ms: int
+    max_ms: int
 
 
 def find_disruptions(lines: typing.Iterable[carried.Line]) -> list[Disruption]:
-    """Return the troubles that lines in the order of their times tell of, the first ones first."""
+    """Return the disruptions that the time-ordered lines show, the earliest first."""
     by_flow: dict[str, list[carried.Line]] = collections.defaultdict(list)
     for line in lines:
         flow = line.fields.get("flow")
         if flow is not None:
             by_flow[flow].append(line)
-    found = [disruption_of(flow, told) for flow, told in by_flow.items()]
-    return sorted((one for one in found if one is not None), key=lambda one: one.began)
+    found = [disruption_of(flow, flow_lines) for flow, flow_lines in by_flow.items()]
+    return sorted((d for d in found if d is not None), key=lambda d: d.began_at)
 
 
 def disruption_of(flow: str, lines: list[carried.Line]) -> Disruption | None:
-    """Return the trouble that a flow's lines tell of, if there was any."""
+    """Return the disruption that a flow's lines show, or None."""
     first = next((line for line in lines if line.event in DISRUPTION_EVENTS), None)
     if first is None:
         return None
@@ -89,23 +92,23 @@
 
 
 def outcome_of(lines: list[carried.Line]) -> tuple[Cause, carried.Line]:
-    """Return the cause, and the line that ended the trouble, from its first sign on."""
-    waits_for = None
+    """Return the cause of a disruption and the line that ended it; `lines` begin with its first."""
+    delay = None
     for line in lines:
-        told = cause_of(line)
-        if told in DELAY_CAUSES:
-            waits_for = told
-        elif told is not None:
-            return told, line
+        cause = cause_of(line)
+        if cause in DELAY_CAUSES:
+            delay = cause
+        elif cause is not None:
+            return cause, line
         elif line.event == "found":
             return Cause.FOUND_LATE, line
-        elif line.event == "opened" and waits_for is not None:
-            return waits_for, line
+        elif line.event == "opened" and delay is not None:
+            return delay, line
     return Cause.LOST_NO_RESET, lines[-1]
 
 
 def cause_of(line: carried.Line) -> Cause | None:
-    """Return the cause that an event tells by itself."""
+    """Return the cause that a single event implies, or None."""
     if line.event == "flow_reset":
         return Cause.NO_ROUTE if line.fields.get("reason") == "no_route" else Cause.NO_UPSTREAM
     if line.event == "not_found":
@@ -113,13 +116,15 @@
     return CAUSE_BY_EVENT.get(line.event)
 
 
-def rows(found: typing.Iterable[Disruption], span_ms: int) -> list[Row]:
-    """Return the troubles by span and cause, the earliest and then the most frequent first."""
+def rows(disruptions: typing.Iterable[Disruption], span_ms: int) -> list[Row]:
+    """Group disruptions by span and cause, the earliest and then the most frequent first."""
     groups: dict[tuple[int, Cause], list[int]] = collections.defaultdict(list)
-    for one in found:
-        groups[one.began // span_ms * span_ms, one.cause].append(one.lasted)
-    made = [
-        Row(began, cause, len(lasted), round(statistics.median(lasted)), max(lasted))
-        for (began, cause), lasted in groups.items()
+    for disruption in disruptions:
+        groups[disruption.began_at // span_ms * span_ms, disruption.cause].append(
+            disruption.duration_ms
+        )
+    table = [
+        Row(span_start, cause, len(durations), round(statistics.median(durations)), max(durations))
+        for (span_start, cause), durations in groups.items()
     ]
-    return sorted(made, key=lambda row: (row.began, -row.flows))
+    return sorted(table, key=lambda row: (row.span_start, -row.flows))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Follow a carried flow through the logs of several processes."""
+"""`ebonystile trace` and `ebonystile logs` over the logs of several processes."""
 
 import click.testing
 import pytest
@@ -27,7 +27,7 @@
     return invoke("trace", *arguments, **options)
 
 
-def test_the_lines_of_all_processes_come_in_order_with_a_last_word(tmp_path):
+def test_lines_of_all_processes_are_ordered_and_end_with_the_last_decision(tmp_path):
     first, second = tmp_path / "one.log", tmp_path / "two.log"
     first.write_text("\n".join(LINES[:2]))
     second.write_text("\n".join(LINES[2:]))
@@ -35,20 +35,20 @@
     assert ran.exit_code == 0
     lines = ran.output.splitlines()
     assert [line.split()[2] for line in lines[:-1]] == ["opened", "flow_lost", "not_found"]
-    assert lines[-1].startswith("Last word, by b-2: Nobody held it: 7 of 7 sidecars answered")
-    assert lines[-1].endswith("within 3 ms (caller told: true).")
+    assert lines[-1].startswith("Last decision, by b-2: It was not found: 7 of 7 sidecars answered")
+    assert lines[-1].endswith("within 3 ms, and none of them held it (caller reset: true).")
 
 
-def test_logs_come_from_standard_input_too():
+def test_logs_are_read_from_standard_input():
     ran = run(FLOW, input=LINES[1])
     assert "placed on u-1 at cost 0.5" in ran.output
 
 
-def test_a_flow_that_nobody_has_logged_is_said_so():
+def test_a_flow_without_a_logged_decision_is_reported():
     assert "No process has logged a decision" in run("1.2.3.4:5>6.7.8.9:10", input=LINES[0]).output
 
 
-def test_the_journal_writes_what_the_command_reads(tmp_path):
+def test_lines_of_the_journal_can_be_parsed(tmp_path):
     path = tmp_path / "log"
     with path.open("wb") as file:
         log = journal.Journal("balancer", "b-1", file.fileno())
@@ -59,11 +59,11 @@
 
 
 @pytest.mark.parametrize("event", sorted(carried.SENTENCE_BY_EVENT))
-def test_every_sentence_can_be_said_with_fields_missing(event):
+def test_every_sentence_can_be_formatted_with_missing_fields(event):
     assert carried.Line(1, "p", event, {}).sentence()
 
 
-def test_frequent_events_are_bounded_and_counted_and_rare_ones_are_not(tmp_path, monkeypatch):
+def test_frequent_events_are_limited_and_counted_and_rare_ones_are_not(tmp_path, monkeypatch):
     now = [1_000]
     monkeypatch.setattr(journal.clock, "now", lambda: now[0])
     path = tmp_path / "log"
@@ -78,8 +78,8 @@
     counts = [line.event for line in lines]
     assert counts.count("opened") == journal.MAX_LINES_PER_S
     assert counts.count("configured") == journal.MAX_LINES_PER_S + 25
-    [told] = [line for line in lines if line.event == "lines_suppressed"]
-    assert told.fields == {"opened": "25"}
+    [suppressed] = [line for line in lines if line.event == "lines_suppressed"]
+    assert suppressed.fields == {"opened": "25"}
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,11 @@
         (["--at", "1970-01-01T00:01:00Z"], []),
     ],
 )
-def test_logs_of_all_processes_come_as_one_time_line(options, events):
-    """On call nobody knows a flow's id yet, only when something happened."""
+def test_logs_of_all_processes_are_merged_and_filtered(options, events):
+    """An operator can search by time, process or event without knowing a flow."""
     ran = invoke("logs", *options, input="\n".join(LINES))
     assert [line.split()[2] for line in ran.output.splitlines()] == events
 
 
-def test_a_time_that_is_none_is_told():
+def test_an_invalid_time_is_refused():
     assert "is not a time like" in invoke("logs", "--at", "noon", input="").output
