--- a/src/ebonystile/commands/preview.py
+++ b/src/ebonystile/commands/preview.py
@@ -51,25 +51,25 @@
     configured = configuration_of(context, present, instances)
     for name in sorted(changed.keys() - configured.values.entries.keys()):
         click.echo(f"warning: {name} is a new document", err=True)
-    found = preview.preview(configured, changed)
-    counts = flow_counts(context, found) if flows else {}
+    result = preview.preview(configured, changed)
+    counts = flow_counts(context, result) if flows else {}
     if as_json:
-        shell.print_json(preview.as_json(found, counts))
+        shell.print_json(preview.as_json(result, counts))
     else:
-        click.echo(preview.table(found, counts))
+        click.echo(preview.table(result, counts))
 
 
 def read_documents(files: abc.Iterable[str], key: str | None = None) -> dict[str, typing.Any]:
     """Return the documents in the files by their keys; raise `SettingsError`."""
-    found: dict[str, typing.Any] = {}
+    documents: dict[str, typing.Any] = {}
     for file in files:
         path = pathlib.Path(file)
         value = validation.read_json(path, step=STEP)
         own_key = key or f"{check.kind_of(value, file)}/{path.stem}"
-        if own_key in found:
+        if own_key in documents:
             raise errors.SettingsError([f"{own_key} is given twice"], step=STEP, peer=file)
-        found[own_key] = value
-    return found
+        documents[own_key] = value
+    return documents
 
 
 def configuration_of(
@@ -96,13 +96,13 @@
         raise errors.SettingsError(faults, step=STEP, peer=file) from error
 
 
-def flow_counts(context: shell.QueryContext, found: preview.Preview) -> dict[str, int | None]:
+def flow_counts(context: shell.QueryContext, result: preview.Preview) -> dict[str, int | None]:
     """Return how many flows each upstream that would leave a service holds now."""
-    leaving = {name for change in found.changes for name in change.leave}
+    leaving = {name for change in result.changes for name in change.leave}
     if not leaving:
         return {}
-    asked = [p for p in context.find_processes() if p.name in leaving]
-    replies = context.client.ask_all(asked, messages.StatusRequest)
+    processes = [p for p in context.find_processes() if p.name in leaving]
+    replies = context.client.ask_all(processes, messages.StatusRequest)
     return {
         reply.process.name: reply.answer.flows
         for reply in replies
--- a/src/ebonystile/operator/causes.py
+++ b/src/ebonystile/operator/causes.py
@@ -77,8 +77,8 @@
         flow = line.fields.get("flow")
         if flow is not None:
             by_flow[flow].append(line)
-    found = [disruption_of(flow, flow_lines) for flow, flow_lines in by_flow.items()]
-    return sorted((d for d in found if d is not None), key=lambda d: d.began_at)
+    disruptions = [disruption_of(flow, flow_lines) for flow, flow_lines in by_flow.items()]
+    return sorted((d for d in disruptions if d is not None), key=lambda d: d.began_at)
 
 
 def disruption_of(flow: str, lines: list[carried.Line]) -> Disruption | None:
--- a/src/ebonystile/operator/client.py
+++ b/src/ebonystile/operator/client.py
@@ -1,4 +1,4 @@
-"""Ask many processes at the same time; those that don't answer are shown as such."""
+"""Query many processes in parallel; each gives an answer or an error."""
 
 import dataclasses
 import random
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Process:
-    """A process to ask, as the platform, another process or the operator names it."""
+    """A process to query, as named by the platform, another process or the operator."""
 
     name: str
     role: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What came of asking one process: an answer, or the error in its place."""
+    """The result of querying one process: its answer, or None and the error."""
 
     process: Process
     answer: messages.Answer | None
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Client:
-    """What is needed to ask: the keys, and how long and how many at a time."""
+    """Queries processes: the keys, the timeout of an exchange, and the number of parallel ones."""
 
     keys: tuple[seal.Key, ...]
     randomness: random.Random
@@ -45,10 +45,10 @@
     parallel: int
 
     def ask_all(self, processes: abc.Sequence[Process], make: QuestionFactory) -> list[Reply]:
-        """Ask every process the same and return a reply for each, in the given order.
+        """Query every process and return one reply for each, in the given order.
 
-        `wait_ms` bounds each exchange. Where there are more processes than `parallel`, they are
-        asked in turn, so a fleet with many dead ones takes a multiple of it.
+        `wait_ms` bounds each exchange, not the whole call: with more than `parallel` unreachable
+        processes the call takes a multiple of it.
         """
         if not processes:
             return []
@@ -56,14 +56,14 @@
             return list(pool.map(lambda process: self.ask(process, make), processes))
 
     def ask(self, process: Process, make: QuestionFactory) -> Reply:
-        """Ask one process."""
+        """Query one process; turn an `EbonystileError` into a reply with its reason."""
         try:
             return Reply(process, self.exchange(process, make))
         except errors.EbonystileError as error:
             return Reply(process, None, error.reason)
 
     def exchange(self, process: Process, make: QuestionFactory) -> messages.Answer:
-        """Return the answer of one process; raise an `EbonystileError` where there is none."""
+        """Return the answer of one process; raise an `EbonystileError` if there is none."""
         question = make(self.randomness.randbytes(messages.ID_BYTES))
         own_seal = seal.make_seal(self.keys, self.randomness.getrandbits(64))
         data = own_seal.seal(messages.OPERATOR.to_items(question))
--- a/src/ebonystile/operator/directory.py
+++ b/src/ebonystile/operator/directory.py
@@ -1,4 +1,4 @@
-"""Find out which processes there are: from the platform's list, or else from a process."""
+"""Discover the processes of the system, from the platform's list or else from a process."""
 
 import dataclasses
 import typing
@@ -11,14 +11,14 @@
 from ebonystile.platform import client as platform_client
 
 ROLES = {"balancer": "balancer", "upstream": "sidecar"}
-"""Which program runs on an instance of each role of the list."""
+"""The program that runs on an instance, by its role in the platform's list."""
 
 Page = typing.TypeVar("Page", platform_client.Values, platform_client.Instances)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Discovery:
-    """The processes to ask, and what went wrong on the way to them."""
+    """The processes to query, and warnings about failures while discovering them."""
 
     processes: tuple[client.Process, ...]
     warnings: tuple[str, ...] = ()
@@ -29,7 +29,7 @@
     platform: platform_client.Platform | None,
     seeds: abc.Sequence[view.Address],
 ) -> Discovery:
-    """Return the processes of the platform's list, or those that the `seeds` name."""
+    """Return the processes of the platform's list or, without it, those that the `seeds` know."""
     warnings = []
     if platform is not None:
         try:
@@ -45,12 +45,12 @@
 def read_instance_list(
     platform: platform_client.Platform, wait_until: int
 ) -> tuple[platform_client.Instance, ...]:
-    """Return the whole list of instances; raise `PlatformError`."""
+    """Return the complete list of instances; raise `PlatformError`."""
     return read_all_pages(platform.instances, wait_until).entries
 
 
 def read_all_pages(read: abc.Callable[[int, int], Page], wait_until: int) -> Page:
-    """Return all pages of the list or of the values as one; raise `PlatformError`."""
+    """Read all pages of the list or of the values into one; raise `PlatformError`."""
     page = read(0, clock.now())
     entries = list(page.entries)
     while page.more:
@@ -68,12 +68,12 @@
 
 
 def processes_at(addresses: abc.Iterable[view.Address]) -> list[client.Process]:
-    """Return processes of which only the addresses are known."""
+    """Return processes known by address only, without a role."""
     return [client.Process(f"{host}:{port}", "", (host, port)) for host, port in addresses]
 
 
 def processes_from_replies(replies: abc.Iterable[client.Reply]) -> list[client.Process]:
-    """Return every process that an answer names or that answered, one for each address."""
+    """Return every process that an answer names or that was queried, one for each address."""
     by_address: dict[view.Address, client.Process] = {}
     for reply in replies:
         if isinstance(reply.answer, messages.Processes):
@@ -103,7 +103,7 @@
     instances: abc.Iterable[platform_client.Instance],
     instances_revision: int,
 ) -> configuration.Configuration:
-    """Return the configuration of these published values and this list of instances."""
+    """Build a configuration from published values and a list of instances."""
     made = configuration.Configuration()
     made.apply_values(configuration.values_delta(0, revision, values))
     entries = [(instance_of(entry), entry.state == "gone") for entry in instances]
@@ -112,6 +112,6 @@
 
 
 def instance_of(entry: platform_client.Instance) -> assembly.Instance:
-    """Return an instance of the list in the form that the view is made of."""
+    """Convert an instance of the platform's list to the one that views are assembled from."""
     leaving = entry.state == "leaving"
     return assembly.Instance(entry.name, entry.role, entry.address, entry.zone, leaving)
--- a/src/ebonystile/operator/events.py
+++ b/src/ebonystile/operator/events.py
@@ -1,4 +1,4 @@
-"""Show the merged time line of many processes, as text or as JSON."""
+"""Merge and format the events of many processes, as text or JSON."""
 
 import datetime
 import typing
@@ -9,14 +9,14 @@
 
 HEADERS = ("TIME", "PROCESS", "EVENT", "FLOW", "REQUEST", "UPSTREAM", "DETAILS")
 SHORT_ID = 8
-"""Digits of an id that the table shows; as a filter they are enough."""
+"""Digits of an id in the table; filters accept such a prefix."""
 
 OUT_OF_ORDER_MARK = "~"
-"""Mark of a record that stands after its cause although its own clock says earlier."""
+"""Mark of a record ordered after its cause although its own clock shows an earlier time."""
 
 
 def merge_records(replies: typing.Iterable[client.Reply]) -> list[timeline.Record]:
-    """Return the records of all answers in one order; damaged ones are left out."""
+    """Merge the records of all answers into one order, without those that can't be decoded."""
     records = []
     for reply in replies:
         if isinstance(reply.answer, messages.Events):
@@ -25,7 +25,7 @@
 
 
 def decode_record(data: bytes) -> timeline.Record | None:
-    """Return the record, or None where a newer release speaks of things unknown here."""
+    """Decode a record; return None for one that a newer release wrote in an unknown form."""
     try:
         return messages.RECORDS.decode(data)
     except errors.DatagramError:
@@ -33,7 +33,7 @@
 
 
 def table(records: abc.Sequence[timeline.Record]) -> str:
-    """Return the time line as a table, oldest first."""
+    """Format the time line as a table, oldest first."""
     rows = []
     latest = 0
     for record in records:
@@ -43,7 +43,7 @@
 
 
 def row(record: timeline.Record, *, late: bool) -> list[str]:
-    """Return the cells of one record."""
+    """Return the table cells of one record."""
     return [
         (OUT_OF_ORDER_MARK if late else "") + time_text(record.time),
         record.process,
@@ -56,7 +56,7 @@
 
 
 def time_text(time: int) -> str:
-    """Return a time in ms as ISO 8601 in UTC; one out of the calendar's range as a number."""
+    """Format a time in ms as ISO 8601 in UTC, or as a number if `datetime` can't represent it."""
     try:
         moment = datetime.datetime.fromtimestamp(time / 1000, datetime.UTC)
     except (OverflowError, ValueError, OSError):
@@ -65,7 +65,7 @@
 
 
 def object_of(record: timeline.Record) -> dict[str, typing.Any]:
-    """Return one record as JSON holds it: ids as hex, the time in ms."""
+    """Return one record as a JSON object: ids in hex, the time in ms."""
     fields = {name: getattr(record, name) for name in record.__slots__}
     for name in ("flow", "request", "link"):
         fields[name] = fields[name].hex()
--- a/src/ebonystile/operator/explain.py
+++ b/src/ebonystile/operator/explain.py
@@ -1,4 +1,4 @@
-"""Tell where a flow goes and why, from what each process says of it."""
+"""Explain where a flow is routed and why, from the answers of all processes."""
 
 import dataclasses
 import typing
@@ -15,35 +15,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """What all processes together say of one flow; `revision` is the highest seen."""
+    """The merged answers about one flow, by revision; `revision` is the highest of any process.
+
+    `holders` have a record of the flow; `unanswered` are the replies without an answer.
+    """
 
     service: str
     flow: bytes
     revision: int
     newest: tuple[messages.Explanation, ...]
-    behind: tuple[messages.Explanation, ...]
+    stale: tuple[messages.Explanation, ...]
     holders: tuple[messages.Explanation, ...]
-    silent: tuple[client.Reply, ...]
+    unanswered: tuple[client.Reply, ...]
 
 
 def route_of(service: str, flow: bytes, replies: abc.Sequence[client.Reply]) -> Route:
-    """Return the route by the answers of all processes."""
-    told = [r.answer for r in replies if isinstance(r.answer, messages.Explanation)]
-    told.sort(key=lambda e: (e.role, e.process))
-    revision = max((e.revision for e in told), default=0)
+    """Build the route of a flow from the replies of all processes."""
+    answers = [r.answer for r in replies if isinstance(r.answer, messages.Explanation)]
+    answers.sort(key=lambda e: (e.role, e.process))
+    revision = max((e.revision for e in answers), default=0)
     return Route(
         service,
         flow,
         revision,
-        tuple(e for e in told if e.revision == revision),
-        tuple(e for e in told if e.revision < revision),
-        tuple(e for e in told if e.holds != messages.ABSENT),
+        tuple(e for e in answers if e.revision == revision),
+        tuple(e for e in answers if e.revision < revision),
+        tuple(e for e in answers if e.holds != messages.ABSENT),
         tuple(r for r in replies if not isinstance(r.answer, messages.Explanation)),
     )
 
 
 def lines(route: Route) -> list[str]:
-    """Return the explanation as lines of text."""
+    """Format the route as lines of text."""
     return [
         f"service {route.service}, flow {route.flow.hex()}, revision {route.revision}",
         *ranking_lines(route),
@@ -54,23 +57,23 @@
 
 
 def ranking_lines(route: Route) -> list[str]:
-    """Tell where opens of the flow go at the newest revision."""
+    """Return the lines on the upstreams that a new open tries at the newest revision."""
     if not route.newest:
         return ["no process answered"]
-    said = route.newest[0]
-    if not said.known:
-        return [f"no service of this name at revision {said.revision}: opens are refused"]
-    if not said.ranking:
+    answer = route.newest[0]
+    if not answer.known:
+        return [f"no service of this name at revision {answer.revision}: opens are refused"]
+    if not answer.ranking:
         return ["no upstream of the service takes new flows: opens are refused"]
-    tried = ", ".join(f"{n}. {name}" for n, name in enumerate(said.ranking, 1))
-    found = [f"a new open tries, by its attempts: {tried}"]
-    if said.leaving:
-        found.append(f"leaving, kept for the flows that they hold: {', '.join(said.leaving)}")
-    return found
+    tried = ", ".join(f"{n}. {name}" for n, name in enumerate(answer.ranking, 1))
+    parts = [f"a new open tries, in order: {tried}"]
+    if answer.leaving:
+        parts.append(f"leaving, kept for the flows that they hold: {', '.join(answer.leaving)}")
+    return parts
 
 
 def holder_lines(route: Route) -> list[str]:
-    """Tell which sidecars know the flow."""
+    """Return a line for each sidecar that has a record of the flow."""
     if not route.holders:
         return ["no process that answered holds the flow"]
     return [
@@ -81,39 +84,39 @@
 
 
 def routing_lines(route: Route) -> list[str]:
-    """Tell where balancers send the flow's packets, those of one mind on one line."""
-    by_way: dict[tuple[str, str], list[str]] = {}
-    for e in (*route.newest, *route.behind):
+    """Return a line for each target of the flow's packets, with the balancers that send there."""
+    by_target: dict[tuple[str, str], list[str]] = {}
+    for e in (*route.newest, *route.stale):
         if e.role == "balancer":
-            by_way.setdefault((e.sends_to, e.why), []).append(e.process)
+            by_target.setdefault((e.sends_to, e.why), []).append(e.process)
     return [
         f"{', '.join(names)}: {f'to {target}, ' if target else ''}{why}"
-        for (target, why), names in by_way.items()
+        for (target, why), names in by_target.items()
     ]
 
 
 def caveat_lines(route: Route) -> list[str]:
-    """Tell what may make the rest untrue."""
-    behind = [f"{e.process} is at revision {e.revision}" for e in route.behind]
-    silent = [f"{r.process.name} did not answer: {r.error}" for r in route.silent]
-    return behind + silent
+    """Return a line for each process whose stale or missing answer makes the rest uncertain."""
+    stale = [f"{e.process} is at revision {e.revision}" for e in route.stale]
+    unanswered = [f"{r.process.name} did not answer: {r.error}" for r in route.unanswered]
+    return stale + unanswered
 
 
 def as_json(route: Route) -> dict[str, typing.Any]:
-    """Return the route as JSON holds it."""
+    """Return the route as a JSON object."""
     return {
         "service": route.service,
         "flow": route.flow.hex(),
         "revision": route.revision,
         "ranking": list(route.newest[0].ranking) if route.newest else [],
         "holders": [object_of(e) for e in route.holders],
-        "processes": [object_of(e) for e in (*route.newest, *route.behind)],
-        "unreachable": [{"process": r.process.name, "error": r.error} for r in route.silent],
+        "processes": [object_of(e) for e in (*route.newest, *route.stale)],
+        "unreachable": [{"process": r.process.name, "error": r.error} for r in route.unanswered],
     }
 
 
 def object_of(explanation: messages.Explanation) -> dict[str, typing.Any]:
-    """Return what one process says as JSON holds it."""
+    """Return the answer of one process as a JSON object."""
     names = {messages.ABSENT: "absent", messages.HOME: "home"}
     names |= {messages.FENCED: "fenced", messages.MOVED: "moved"}
     return {
--- a/src/ebonystile/operator/messages.py
+++ b/src/ebonystile/operator/messages.py
@@ -1,7 +1,7 @@
-"""The questions that operators ask a process, and its answers; none of them changes anything.
+"""The read-only queries of operators to a process, and its answers.
 
-They travel over websockets on `PATH`, sealed like datagrams between processes. Each answer repeats
-the question's random `id`, so that an old answer played back is not taken for a new one.
+They are sent over websockets on `PATH`, sealed like datagrams between processes. Each answer
+repeats the query's random `id`, so that a replayed answer is detected.
 """
 
 import dataclasses
@@ -12,14 +12,14 @@
 PATH = "/v1/operator"
 ID_BYTES = 16
 MAX_EVENTS = 5_000
-"""Most records of one answer: about 1 MB, half of what a websocket message may hold."""
+"""Maximum number of records in one answer: about 1 MB, half the websocket message limit."""
 
 Address = tuple[str, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Ask how a process is."""
+    """Request the status of a process."""
 
     KIND: typing.ClassVar[int] = 16
     id: bytes
@@ -27,11 +27,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """Tell how a process is; `now` and `started` are in ms by its clock.
+    """The status of a process; `now` and `started` are in ms by its clock.
 
-    `revision` is the platform's of the documents in force, `instances_revision` of its list.
-    `queued` counts requests in a sidecar and datagrams in a balancer. `leaving` gives the reason,
-    empty where it isn't leaving; `suspected` names the processes that it takes for failed.
+    `revision` is the platform's revision of the documents in force, `instances_revision` that of
+    the list of instances. `queued` counts requests in a sidecar and datagrams in a balancer.
+    `leaving` is the reason for leaving, or empty. `suspected` names the processes that this one
+    suspects to have failed.
     """
 
     KIND: typing.ClassVar[int] = 17
@@ -56,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventsRequest:
-    """Ask for the newest `limit` events that fit; the fields are those of `timeline.Filter`."""
+    """Request the newest `limit` events that match; other fields are those of `timeline.Filter`."""
 
     KIND: typing.ClassVar[int] = 18
     id: bytes
@@ -70,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Events:
-    """Give events, oldest first, each encoded as a `timeline.Record`."""
+    """Events, oldest first, each an encoded `timeline.Record`."""
 
     KIND: typing.ClassVar[int] = 19
     id: bytes
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExplainRequest:
-    """Ask where a flow goes; `token` is empty where the operator has none."""
+    """Request where a flow is routed; `token` is empty if the operator has none."""
 
     KIND: typing.ClassVar[int] = 20
     id: bytes
@@ -90,11 +91,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explanation:
-    """Tell where a flow goes by the view of one process.
+    """Where a flow is routed by the view of one process.
 
     `ranking` names the upstreams for a new open, the first choice first, and `leaving` those that
-    serve on but take no new flows. `sends_to` is what the token leads to. `holds` tells of a
-    sidecar's own copy of the flow: `HOME`, `FENCED`, `MOVED` or `ABSENT`; `target` where it went.
+    accept no new flows. `sends_to` is the upstream that the token selects. `holds` is the state of
+    the flow in this sidecar: `HOME`, `FENCED`, `MOVED` or `ABSENT`; `target` is where it moved.
     """
 
     KIND: typing.ClassVar[int] = 21
@@ -120,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessesRequest:
-    """Ask which processes there are, for when the platform doesn't answer."""
+    """Request the known processes, for when the platform is unreachable."""
 
     KIND: typing.ClassVar[int] = 22
     id: bytes
@@ -128,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Processes:
-    """Name the processes by a process's own view, each with role and address."""
+    """The processes in the view of one process, each with name, role and address."""
 
     KIND: typing.ClassVar[int] = 23
     id: bytes
@@ -137,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Say why a question has no answer."""
+    """Refuse a query with a reason."""
 
     KIND: typing.ClassVar[int] = 24
     id: bytes
--- a/src/ebonystile/operator/preview.py
+++ b/src/ebonystile/operator/preview.py
@@ -1,4 +1,4 @@
-"""Work out what a change of a document would match and move, before it is published."""
+"""Compute which upstreams and flows a changed document would affect, before it is published."""
 
 import dataclasses
 import typing
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceChange:
-    """How one service changes. `before` and `after` count upstreams, None: no such service."""
+    """The change of one service; `before` and `after` count upstreams, None if it doesn't exist."""
 
     service: str
     before: int | None
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preview:
-    """Every service that would change, what to be warned of, and how many stay as they are."""
+    """All services that would change, the warnings, and the number of unchanged services."""
 
     changes: tuple[ServiceChange, ...]
     warnings: tuple[str, ...]
@@ -36,10 +36,10 @@
 
 
 def preview(present: configuration.Configuration, changed: abc.Mapping[str, typing.Any]) -> Preview:
-    """Return what publishing the `changed` documents (key to JSON value) would do.
+    """Return the effect of publishing the `changed` documents (key to JSON value).
 
-    Raise `SettingsError` with every fault where one would be refused. `present` takes the change
-    in, so it must not be used for anything else afterwards.
+    Raise `SettingsError` with every fault if a document would be refused. The changes are applied
+    to `present`, which must not be used afterwards.
     """
     before = present.view
     conflicts = set(present.conflicts())
@@ -57,7 +57,7 @@
 def warn_unlisted(
     present: configuration.Configuration, changed: abc.Mapping[str, typing.Any]
 ) -> list[str]:
-    """Return a warning for each labelled instance that the platform's list doesn't have."""
+    """Return a warning for each labelled instance that is not on the platform's list."""
     labelled = {
         name
         for value in changed.values()
@@ -69,7 +69,7 @@
 
 
 def compare(before: view.View, after: view.View, remarks: abc.Sequence[str] = ()) -> Preview:
-    """Return how the services of two views differ; `remarks` come after the warnings."""
+    """Compare the services of two views; `remarks` are appended to the warnings."""
     names = sorted(before.services.keys() | after.services.keys())
     changes = []
     for name in names:
@@ -87,7 +87,7 @@
 def service_change(
     name: str, before: view.Service | None, after: view.Service | None
 ) -> ServiceChange | None:
-    """Return how one service differs, or None where it doesn't."""
+    """Return the change of one service, or None if it is unchanged."""
     if before == after:
         return None
     had = accepting_upstreams(before)
@@ -104,44 +104,44 @@
 
 
 def accepting_upstreams(service: view.Service | None) -> set[str]:
-    """Return the names of the upstreams that take new work for the service."""
+    """Return the names of the upstreams that accept new flows of the service."""
     return {upstream.name for upstream in service.accepting} if service else set()
 
 
 def warnings_of(change: ServiceChange) -> list[str]:
-    """Return what an operator should look at twice before publishing."""
-    found = []
+    """Return the warnings about the change of one service."""
+    warnings = []
     if change.after is None:
-        found.append(f"{change.service}: the service goes away; its flows end")
+        warnings.append(f"{change.service}: the service is removed; its flows end")
     elif change.after == 0:
-        found.append(f"{change.service}: no upstream would take new work")
+        warnings.append(f"{change.service}: no upstream would accept new flows")
     elif change.before and not change.join and 2 * change.after < change.before:
-        found.append(f"{change.service}: loses more than half of its upstreams at once")
+        warnings.append(f"{change.service}: loses more than half of its upstreams at once")
     if change.before is not None and change.address_after not in ("", change.address_before):
-        found.append(f"{change.service}: callers must use the new address")
-    return found
+        warnings.append(f"{change.service}: callers must use the new address")
+    return warnings
 
 
 def warn_unserved(before: view.View, after: view.View) -> list[str]:
-    """Return a warning for each upstream that would serve nothing any more."""
+    """Return a warning for each upstream that would serve no service after the change."""
     served = {u.name for s in before.services.values() for u in s.upstreams}
     serving = {u.name for s in after.services.values() for u in s.upstreams}
     return [f"{name}: would serve no service" for name in sorted(served - serving)]
 
 
-def table(found: Preview, flows: abc.Mapping[str, int | None]) -> str:
-    """Return the preview as text; `flows` holds how many flows each upstream holds now."""
+def table(result: Preview, flows: abc.Mapping[str, int | None]) -> str:
+    """Format the preview as text; `flows` maps upstreams to their number of flows."""
     parts = []
-    if found.changes:
-        rows = [row(change, flows) for change in found.changes]
+    if result.changes:
+        rows = [row(change, flows) for change in result.changes]
         parts.append(tables.render(HEADERS, rows))
-    parts += [f"warning: {tables.printable(warning)}" for warning in found.warnings]
-    parts.append(f"{len(found.changes)} services change, {found.unchanged} stay as they are")
+    parts += [f"warning: {tables.printable(warning)}" for warning in result.warnings]
+    parts.append(f"{len(result.changes)} services change, {result.unchanged} stay as they are")
     return "\n".join(parts)
 
 
 def row(change: ServiceChange, flows: abc.Mapping[str, int | None]) -> list[str]:
-    """Return the cells of one service."""
+    """Return the table cells of one service."""
     moved = [flows.get(name) for name in change.leave]
     unknown = sum(count is None for count in moved)
     total = str(sum(count or 0 for count in moved))
@@ -156,20 +156,20 @@
 
 
 def count_text(count: int | None) -> str:
-    """Return a number of upstreams, or the word for a service that isn't there."""
+    """Format a number of upstreams, or the absence of the service."""
     return "absent" if count is None else str(count)
 
 
 def address_text(change: ServiceChange) -> str:
-    """Return the address and, where it changes, both."""
+    """Format the address, or both if it changes."""
     shown = [a for a in (change.address_before, change.address_after) if a]
     return " -> ".join(dict.fromkeys(shown))
 
 
-def as_json(found: Preview, flows: abc.Mapping[str, int | None]) -> dict[str, typing.Any]:
-    """Return the preview as JSON holds it."""
+def as_json(result: Preview, flows: abc.Mapping[str, int | None]) -> dict[str, typing.Any]:
+    """Return the preview as a JSON object."""
     changes = [
         {**dataclasses.asdict(change), "flows": {name: flows.get(name) for name in change.leave}}
-        for change in found.changes
+        for change in result.changes
     ]
-    return {"changes": changes, "warnings": list(found.warnings), "unchanged": found.unchanged}
+    return {"changes": changes, "warnings": list(result.warnings), "unchanged": result.unchanged}
--- a/src/ebonystile/operator/reference.py
+++ b/src/ebonystile/operator/reference.py
@@ -1,4 +1,4 @@
-"""Describe every setting of each program, from the models that check them."""
+"""Generate the reference of all settings from the models that validate them."""
 
 import dataclasses
 import typing
@@ -25,7 +25,7 @@
     settings.parse_secret: "hex digits",
     settings.parse_name: "name",
 }
-"""How a value is written, by the function that reads it."""
+"""The written form of a value, by the function that parses it."""
 
 HEAD = """# Settings
 
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Setting:
-    """One setting of a file that is no pydantic model: how it is written and who needs it."""
+    """A setting without a pydantic model: its form, whether it is required, and its meaning."""
 
     name: str
     form: str
@@ -58,7 +58,7 @@
 
 
 def page(carriers: abc.Sequence[Setting]) -> str:
-    """Return the whole reference in Markdown; `carriers` are the settings of `CARRIERS`."""
+    """Return the complete reference in Markdown; `carriers` are the carrying daemons' settings."""
     sections = [section(title, model) for title, model in MODELS.items()]
     return "\n".join([HEAD, *sections, carrier_section(carriers)])
 
@@ -71,7 +71,7 @@
 
 
 def carrier_section(carriers: abc.Sequence[Setting]) -> str:
-    """Return the table of the daemons on the users' platform, whose file that platform fills in."""
+    """Return the table of the settings that the platform fills in for the carrying daemons."""
     rows = [f"| `{one.name}` | {one.form} | {one.need} | {one.meaning} |" for one in carriers]
     return "\n".join(
         [CARRIER_HEAD, "| key | form | default | meaning |", TABLE_SEPARATOR, *rows, ""]
@@ -79,27 +79,27 @@
 
 
 def row(name: str, field: fields.FieldInfo) -> str:
-    """Return the line of one setting."""
+    """Return the table row of one setting."""
     default = "required" if field.is_required() else f"`{default_text(field.default)}`"
     meaning = (field.description or "").replace("|", "\\|")
     return f"| `{name}` | {form_of(field)} | {default} | {meaning} |"
 
 
 def default_text(value: typing.Any) -> str:
-    """Return a default as it would stand in a file."""
+    """Format a default as it is written in a settings file."""
     if isinstance(value, pydantic.BaseModel):
         return "{}"
     return "null" if value is None else str(value)
 
 
 def form_of(field: fields.FieldInfo) -> str:
-    """Return how the value is written, with its bounds."""
+    """Return the form of a value with its bounds."""
     bounds = [bound_text(item) for item in field.metadata]
     return " ".join([type_text(field.annotation, field.metadata), *filter(None, bounds)])
 
 
 def bound_text(item: typing.Any) -> str:
-    """Return a bound of a number, or nothing."""
+    """Format a bound of a number, or return an empty string for other metadata."""
     if isinstance(item, annotated_types.Ge):
         return f"from {item.ge}"
     if isinstance(item, annotated_types.Le):
@@ -108,7 +108,7 @@
 
 
 def type_text(annotation: typing.Any, metadata: abc.Sequence[typing.Any] = ()) -> str:
-    """Return the name of a type as users of JSON know it."""
+    """Return the JSON name of a type."""
     for item in metadata:
         if isinstance(item, pydantic.BeforeValidator):
             return FORMS[item.func]
--- a/src/ebonystile/operator/status.py
+++ b/src/ebonystile/operator/status.py
@@ -1,4 +1,4 @@
-"""Show how all processes are, in one table or as JSON."""
+"""Format the status of all processes, as one table or as JSON."""
 
 import typing
 from collections import abc
@@ -21,14 +21,14 @@
     "SUSPECTED",
 )
 STALE_MARK = "*"
-"""Mark of a revision lower than the highest that any process shows."""
+"""Mark of a revision lower than the highest of any process."""
 
 UNREACHABLE_PREFIX = "unreachable: "
 UNITS = ((86_400, "d"), (3_600, "h"), (60, "m"))
 
 
 def table(replies: abc.Sequence[client.Reply]) -> str:
-    """Return the table and, below it, what an operator should know of it."""
+    """Format the table, followed by remarks on stale, unreachable and refusing processes."""
     ordered = sorted(replies, key=lambda r: (r.process.role, r.process.name))
     newest = max((status.revision for status in answers(ordered)), default=0)
     parts = [tables.render(HEADERS, [row(reply, newest) for reply in ordered])]
@@ -37,12 +37,12 @@
 
 
 def answers(replies: typing.Iterable[client.Reply]) -> list[messages.Status]:
-    """Return the answers of those that answered."""
+    """Return the answers of the processes that answered."""
     return [reply.answer for reply in replies if isinstance(reply.answer, messages.Status)]
 
 
 def row(reply: client.Reply, newest: int) -> list[str]:
-    """Return the cells of one process."""
+    """Return the table cells of one process."""
     process, status = reply.process, reply.answer
     address = f"{process.address[0]}:{process.address[1]}"
     if not isinstance(status, messages.Status):
@@ -66,21 +66,21 @@
 
 
 def remarks(replies: abc.Sequence[client.Reply], newest: int) -> list[str]:
-    """Return what the table alone doesn't say."""
+    """Return the lines below the table: stale revisions, missing answers, refused documents."""
     lines = []
-    behind = sum(status.revision < newest for status in answers(replies))
-    if behind:
-        lines.append(f"{STALE_MARK} {behind} behind revision {newest}")
-    silent = len(replies) - len(answers(replies))
-    if silent:
-        lines.append(f"{silent} of {len(replies)} did not answer")
+    stale = sum(status.revision < newest for status in answers(replies))
+    if stale:
+        lines.append(f"{STALE_MARK} {stale} behind revision {newest}")
+    unanswered = len(replies) - len(answers(replies))
+    if unanswered:
+        lines.append(f"{unanswered} of {len(replies)} did not answer")
     refusals = sorted({fault for status in answers(replies) for fault in status.refusals})
     lines += [f"refused: {tables.printable(fault)}" for fault in refusals]
     return lines
 
 
 def format_duration(duration: int) -> str:
-    """Return a duration in ms as people write it, in its largest unit."""
+    """Format a duration in ms as a whole number of its largest unit."""
     seconds = max(0, duration) // 1000
     for size, unit in UNITS:
         if seconds >= size:
@@ -89,12 +89,12 @@
 
 
 def as_json(replies: abc.Sequence[client.Reply]) -> list[dict[str, typing.Any]]:
-    """Return one object for each process, with the names of `messages.Status`."""
+    """Return a JSON object for each process, with the field names of `messages.Status`."""
     return [object_of(reply) for reply in replies]
 
 
 def object_of(reply: client.Reply) -> dict[str, typing.Any]:
-    """Return one process as JSON holds it; a 64-bit incarnation goes as hex."""
+    """Return one process as a JSON object, with its 64-bit incarnation in hex."""
     process, status = reply.process, reply.answer
     address = f"{process.address[0]}:{process.address[1]}"
     if not isinstance(status, messages.Status):
--- a/src/ebonystile/operator/tables.py
+++ b/src/ebonystile/operator/tables.py
@@ -1,4 +1,4 @@
-"""Lay out rows of text in columns, for terminals."""
+"""Format rows of text as aligned columns for terminals."""
 
 import typing
 from collections import abc
@@ -7,7 +7,7 @@
 
 
 def render(headers: abc.Sequence[str], rows: typing.Iterable[abc.Sequence[str]]) -> str:
-    """Return the table as lines without trailing blanks; control characters are made harmless."""
+    """Return the table as lines without trailing spaces, with control characters escaped."""
     lines = [list(headers), *[[printable(cell) for cell in row] for row in rows]]
     widths = [max(len(line[column]) for line in lines) for column in range(len(headers))]
     return "\n".join(
@@ -17,5 +17,5 @@
 
 
 def printable(text: str) -> str:
-    """Return the text with anything that could move the cursor escaped."""
+    """Return the text with all non-printable characters escaped."""
     return "".join(c if c.isprintable() else c.encode("unicode_escape").decode() for c in text)
