--- a/tests/checks.py
+++ b/tests/checks.py
@@ -19,7 +19,7 @@
         self.faults: list[str] = []
         self.revisions: dict[int, tuple[int, int]] = {}
         self.asked: dict[bytes, Asked] = {}
-        wire.inspect = self.after_event
+        wire.on_decision = self.after_event
 
     def fault(self, text: str) -> None:
         """Note a fault once."""
@@ -46,7 +46,7 @@
 
     def at_end(self) -> list[str]:
         """Judge the whole run and return the faults."""
-        self.faults += self.wire.ran_elsewhere
+        self.faults += self.wire.misplaced_runs
         check_runs(self)
         check_words(self)
         check_feeds(self)
@@ -107,7 +107,7 @@
     for body, count in bodies.items():
         if count > 1:
             checks.fault(f"{body[:12]!r} ran {count} times")
-    for request in wire.said_not_run:
+    for request in wire.reported_not_run:
         if wire.all_runs[request]:
             checks.fault(f"{checks.asked[request].body[:12]!r} was said not run, but ran")
 
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -119,9 +119,9 @@
         self.started: list[wires.Home] = []
         self.leaving: set[str] = set()
         self.struck: list[str] = []
-        self.wire.judge = self.judge
-        self.wire.judge_run = self.judge_run
-        self.wire.watch = self.on_step
+        self.wire.message_delays = self.message_delays
+        self.wire.run_delays = self.run_delays
+        self.wire.on_step = self.on_step
         self.make_parts()
 
     def make_parts(self) -> None:
@@ -171,8 +171,8 @@
     def play(self) -> list[str]:
         """Play the whole day and return the faults found."""
         wire = self.wire
-        wire.every(500, wire.confirm)
-        wire.every(50, self.collect)
+        wire.schedule_every(500, wire.confirm)
+        wire.schedule_every(50, self.collect)
         self.callers = [
             wire.add_caller(),
             wire.add_caller(),
@@ -201,7 +201,7 @@
             (4_800, lambda: second.close()),
         ]
         for delay, action in plan:
-            wire.at(delay, action)
+            wire.schedule(delay, action)
         wire.run(ACTIVE_MS)
         self.heal()
         # The home of this flow may be lost; the caller learns it now, once.
@@ -214,7 +214,7 @@
         wire.run(DEADLINE + SETTLE_MS)
         self.check_living((probe, last), first.subscriptions[feed].position - seen)
         wire.tick_ms = 400
-        wire.judge = lambda *_: [wires.HOP_MS]
+        wire.message_delays = lambda *_: [wires.HOP_MS]
         wire.run(QUIET_MS)
         return self.checks.at_end()
 
@@ -250,7 +250,7 @@
     def ask_and_cancel(self, caller: call.Call) -> None:
         """Send a slow request and cancel it a little later."""
         request = self.ask(caller, "slow/600")
-        self.wire.at(120, lambda: caller.cancel(request, self.caller_clock(caller)))
+        self.wire.schedule(120, lambda: caller.cancel(request, self.caller_clock(caller)))
 
     def settle_some(self) -> None:
         """Settle everything that has no word yet."""
@@ -273,7 +273,7 @@
                     again = functools.partial(
                         self.send_again, caller, asked.path, asked.body, asked.idempotent
                     )
-                    self.wire.at(max(20, result.retry_at - self.caller_clock(caller)), again)
+                    self.wire.schedule(max(20, result.retry_at - self.caller_clock(caller)), again)
             caller.outcomes.clear()
 
     def send_again(self, caller, path: str, body: bytes, idempotent: bool) -> None:
@@ -312,7 +312,7 @@
                 self.end(home)
                 self.publish()
             else:
-                self.wire.at(200, self.end_drained)
+                self.wire.schedule(200, self.end_drained)
 
     def homes_core(self, home: wires.Home):
         """Return the core if that very process still runs at its address."""
@@ -330,14 +330,14 @@
 
     # Faults
 
-    def judge(self, source, target, kind: str) -> list[int]:
+    def message_delays(self, source, target, kind: str) -> list[int]:
         """Return the delays of a message, as the faults in force want them."""
         delays = [wires.HOP_MS]
         for put in self.armed:
             delays = put.on_message(source, target, kind, delays)
         return delays
 
-    def judge_run(self, home: wires.Home) -> list[int]:
+    def run_delays(self, home: wires.Home) -> list[int]:
         """Return the delay of the exchange that hands a request to an upstream."""
         for put in self.armed:
             if put.step == "handed to the upstream" and put.fault in PACKET_FAULTS and put.due():
@@ -395,7 +395,7 @@
             if self.due():
                 home = wire.homes.get(target) or wire.homes.get(source) or self.day.busiest()
                 delay = 0 if self.fault.endswith("before") else 2
-                wire.at(delay, lambda: self.strike(home, source, target))
+                wire.schedule(delay, lambda: self.strike(home, source, target))
             return delays
         if self.fault == "loss for long" and wire.now < self.until:
             return []
@@ -412,7 +412,7 @@
             if after == self.fault.endswith("after") and self.due():
                 self.strike(home, None, None)
         elif self.step == "running" and step == "started" and after and self.due():
-            self.day.wire.at(RUNNING_MS // 3, lambda: self.strike(home, None, None))
+            self.day.wire.schedule(RUNNING_MS // 3, lambda: self.strike(home, None, None))
         elif self.step == "configuration accepted" and step in (
             "leaving",
             "services_lost",
@@ -446,16 +446,16 @@
     if day.homes_core(home) is None:
         return
     day.wire.kill(home)
-    day.wire.at(300, functools.partial(restart, day, home))
+    day.wire.schedule(300, functools.partial(restart, day, home))
 
 
 def restart(day: Day, home: wires.Home) -> None:
     """Start an instance again at its address, unless another has it."""
     if home.address not in day.wire.homes:
         again = day.wire.add_home(home.name, home.address[1], offset=day.rng.choice([0, 400, -400]))
-        again.kinds = home.kinds
+        again.served_services = home.served_services
         again.left_at = home.left_at
-        day.wire.show(again, day.wire.views[-1])
+        day.wire.show_view(again, day.wire.views[-1])
 
 
 def kill_for_good(day: Day, home, source, target) -> None:
@@ -463,7 +463,7 @@
     if day.homes_core(home) is not None:
         day.wire.kill(home)
         day.leaving.discard(home.name)
-        day.wire.at(1_500, day.publish)
+        day.wire.schedule(1_500, day.publish)
 
 
 def kill_balancer(day: Day, home, source, target) -> None:
@@ -501,8 +501,8 @@
     name = f"photos-at-{home.address[1]}"
     if name not in day.labels:
         taker = day.add_home(name, PHOTOS, home.address[1])
-        day.wire.show(taker, day.wire.views[-1])
-    day.wire.at(900, day.publish)
+        day.wire.show_view(taker, day.wire.views[-1])
+    day.wire.schedule(900, day.publish)
 
 
 def others(day: Day, home) -> list:
@@ -548,7 +548,7 @@
 def platform_older(day: Day, home, source, target) -> None:
     """Let the platform answer with its first revision, to everyone."""
     for part in [*day.wire.homes.values(), *day.wire.balancers.values()]:
-        day.wire.show(part, day.wire.views[0])
+        day.wire.show_view(part, day.wire.views[0])
 
 
 def list_lags(day: Day, home, source, target) -> None:
@@ -564,15 +564,15 @@
     heard; a process that was paused meanwhile has no such excuse.
     """
     day.labels[home.name] = {PHOTOS}
-    home.kinds.add(PHOTOS)
+    home.served_services.add(PHOTOS)
     day.publish()
 
     def end_grace():
         deaf = day.wire.blocked.get(("platform", home.address), 0)
         if not (day.wire.platform_down or home.stale or deaf):
-            home.kinds.discard(wires.SERVICE)
+            home.served_services.discard(wires.SERVICE)
 
-    day.wire.at(wires.LEAVE_BOUND_MS, end_grace)
+    day.wire.schedule(wires.LEAVE_BOUND_MS, end_grace)
 
 
 def remove_label(day: Day, home, source, target) -> None:
@@ -590,7 +590,7 @@
         day.labels[home.name] = kept
         day.publish()
 
-    day.wire.at(day.rng.choice([30, 150, 600]), restore)
+    day.wire.schedule(day.rng.choice([30, 150, 600]), restore)
 
 
 def leave_and_stay(day: Day, home, source, target) -> None:
@@ -600,26 +600,28 @@
     def stay():
         day.stay(home.name)
 
-    day.wire.at(day.rng.choice([5, 40, 200, 700]), stay)
+    day.wire.schedule(day.rng.choice([5, 40, 200, 700]), stay)
 
 
 def both_at_once(day: Day, home, source, target) -> None:
     """Move one upstream to the other service while another one leaves."""
     move_service(day, home, source, target)
-    rest = [h for h in day.wire.homes.values() if h is not home and wires.SERVICE in h.kinds]
+    rest = [
+        h for h in day.wire.homes.values() if h is not home and wires.SERVICE in h.served_services
+    ]
     if len(rest) > 1:
         leave_and_stay(day, rest[0], source, target)
 
 
 def clocks_apart(day: Day, home, source, target) -> None:
     """Let one sidecar's clock leap ahead, as after a suspended machine."""
-    home.offset += 1_500
+    home.clock_offset += 1_500
 
 
 def caller_clock_behind(day: Day, home, source, target) -> None:
     """Let callers' clocks fall behind those of the system."""
     for address in day.wire.callers:
-        day.wire.offsets[address] = -400
+        day.wire.caller_clock_offsets[address] = -400
 
 
 PROCESS_FAULTS: dict[str, typing.Callable] = {
--- a/tests/test_call.py
+++ b/tests/test_call.py
@@ -34,7 +34,7 @@
     wire = wires.make_service(count=2)
     caller = wire.add_caller()
     wire.run(200)
-    wire.judge = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
+    wire.message_delays = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
     request = caller.request("report", b"r", wire.now + 9_000, idempotent, wire.now)
     wire.run(60)
     caller.cancel(request, wire.now)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -52,8 +52,8 @@
         return found[0]
 
     def publish(self, leaving=(), to=None):
-        homes = [h for h in self.wire.homes.values() if LINE_STATUS in h.kinds]
-        others = [h for h in self.wire.homes.values() if EVIDENCE in h.kinds]
+        homes = [h for h in self.wire.homes.values() if LINE_STATUS in h.served_services]
+        others = [h for h in self.wire.homes.values() if EVIDENCE in h.served_services]
         return self.wire.publish({LINE_STATUS: homes, EVIDENCE: others}, leaving, to=to)
 
 
@@ -114,17 +114,21 @@
 
 @then("no upstream ran a request of another service")
 def kept_apart(stage):
-    assert stage.wire.ran_elsewhere == []
+    assert stage.wire.misplaced_runs == []
     assert stage.wire.all_runs[stage.request] <= 1
     assert all(
-        stage.request not in h.runs for h in stage.wire.homes.values() if EVIDENCE in h.kinds
+        stage.request not in h.runs
+        for h in stage.wire.homes.values()
+        if EVIDENCE in h.served_services
     )
 
 
 @given("answers come late, twice and out of order")
 def disorder(stage):
     rng = stage.wire.rng
-    stage.wire.judge = lambda *_: [rng.randrange(1, 60) for _ in range(rng.choice([1, 1, 2]))]
+    stage.wire.message_delays = lambda *_: [
+        rng.randrange(1, 60) for _ in range(rng.choice([1, 1, 2]))
+    ]
 
 
 @when("several callers ask for large answers at the same time")
@@ -141,7 +145,7 @@
 
 @when("an offset demand is held up on the way and settled meanwhile")
 def hold_up(stage):
-    stage.wire.judge = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
+    stage.wire.message_delays = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
     stage.ask()
     stage.wire.run(100)
     stage.caller.settle(stage.request, stage.wire.now)
@@ -164,12 +168,12 @@
 def twice(stage):
     lost_until = stage.wire.now + 2_000
 
-    def judge(_source, _target, kind):
+    def message_delays(_source, _target, kind):
         if kind in ("AnswerPart", "Running") and stage.wire.now < lost_until:
             return []
         return [1, 300] if kind == "Request" else [1]
 
-    stage.wire.judge = judge
+    stage.wire.message_delays = message_delays
     stage.ask()
     stage.wire.run(400)
 
@@ -212,7 +216,7 @@
         if stage.wire.now < wires.START + 9_000:
             stage.ask(caller=stage.wire.rng.choice(callers))
 
-    stage.wire.every(60, ask)
+    stage.wire.schedule_every(60, ask)
     stage.wire.run(1_000)
 
 
@@ -231,7 +235,7 @@
     before = stage.leaver.runs.total()
     stage.wire.run(4_000)
     assert stage.leaver.runs.total() == before
-    assert stage.wire.ran_elsewhere == []
+    assert stage.wire.misplaced_runs == []
 
 
 @then("the callers' requests are answered elsewhere")
@@ -264,7 +268,7 @@
 @when("the platform answers with an older revision")
 def revert(stage):
     for part in [*stage.wire.balancers.values(), *stage.wire.homes.values()]:
-        stage.wire.show(part, stage.older)
+        stage.wire.show_view(part, stage.older)
 
 
 @then("the newer configuration stays in force everywhere")
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -24,12 +24,12 @@
     """Return a caller, its home, and an idle second home whose answer is still on the way."""
     late = []
 
-    def judge(source, _, kind):
+    def message_delays(source, _, kind):
         if kind == "Return" and not late:
             late.append(source)
         return [5_000] if kind == "Return" and source in late else [wires.HOP_MS]
 
-    wire.judge = judge
+    wire.message_delays = message_delays
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
     return caller, home_of(wire, caller), wire.homes[late[0]]
@@ -57,7 +57,9 @@
 def test_late_answer_to_an_open_does_not_close_the_moved_flow(kind):
     """A late copy of `Opened` after a handover must not make the caller close its flow."""
     wire = wires.make_service(count=2)
-    wire.judge = lambda _s, _t, k: [1, 3_000] if k == kind and wire.now < 50 + wires.START else [1]
+    wire.message_delays = lambda _s, _t, k: (
+        [1, 3_000] if k == kind and wire.now < 50 + wires.START else [1]
+    )
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
     old = home_of(wire, caller)
@@ -71,12 +73,12 @@
     """A late copy of `Open` at the old home must not make the caller close the moved flow."""
     wire = wires.make_service(count=2)
 
-    def judge(_source, _target, kind):
+    def message_delays(_source, _target, kind):
         if kind == "Open":
             return [1, 700]
         return [2_000] if kind == "Moved" else [1]
 
-    wire.judge = judge
+    wire.message_delays = message_delays
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
     old = home_of(wire, caller)
@@ -96,7 +98,7 @@
     feed = caller.subscribe("spans", 900, wire.now)
     wire.run(500)
     old = home_of(wire, caller)
-    wire.judge = lambda _s, _t, kind: (
+    wire.message_delays = lambda _s, _t, kind: (
         [] if kind == "TransferReply" and wire.traces_of("adopted") else [1]
     )
     homes = list(wire.homes.values())
@@ -104,7 +106,7 @@
     run_until(wire, lambda: wire.traces_of("adopted"))
     target = next(h for h in homes if h.name == wire.traces_of("adopted")[0])
     wire.kill(target)
-    wire.judge = lambda *_: [1]
+    wire.message_delays = lambda *_: [1]
     seen = caller.subscriptions[feed].position
     wire.run(12_000)
     request = caller.request("report", b"r", wire.now + 5_000, False, wire.now)
@@ -125,13 +127,13 @@
     caller = wire.add_caller()
     wire.run(200)
     old = home_of(wire, caller)
-    wire.judge = lambda _s, _t, kind: (
+    wire.message_delays = lambda _s, _t, kind: (
         [] if kind == "TransferReply" and wire.traces_of("adopted") else [1]
     )
     wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
     run_until(wire, lambda: wire.traces_of("adopted"))
     wire.run(4_000)
-    wire.judge = lambda *_: [1]
+    wire.message_delays = lambda *_: [1]
     wire.run(4_000)
     assert len(wire.traces_of("adopted")) == 1
 
@@ -203,7 +205,9 @@
     """
     wire = wires.make_service(count=2, handover_deadline=1_000)
     lost_until = wires.START + 4_000
-    wire.judge = lambda _s, _t, k: [] if k == "AnswerPart" and wire.now < lost_until else [1]
+    wire.message_delays = lambda _s, _t, k: (
+        [] if k == "AnswerPart" and wire.now < lost_until else [1]
+    )
     caller = wire.add_caller()
     wire.run(100)
     request = caller.request("answers/3000000", b"", wire.now + 30_000, True, wire.now)
--- a/tests/test_matrix_sequences.py
+++ b/tests/test_matrix_sequences.py
@@ -29,13 +29,13 @@
         self.day = matrix.Day(matrix.Case((), 1))
         self.wire = self.day.wire
         self.strikes: list[tuple[str, tuple[int, ...]]] = []
-        self.wire.judge = self.judge
-        self.wire.every(500, self.wire.confirm)
-        self.wire.every(50, self.day.collect)
+        self.wire.message_delays = self.message_delays
+        self.wire.schedule_every(500, self.wire.confirm)
+        self.wire.schedule_every(50, self.day.collect)
         self.day.callers.append(self.wire.add_caller())
         self.wire.run(20)
 
-    def judge(self, _source, _target, kind):
+    def message_delays(self, _source, _target, kind):
         """Return the delays of a message; each strike hits one."""
         for number, (name, delays) in enumerate(self.strikes):
             if name == kind:
@@ -110,7 +110,7 @@
         self.wire.post(home, events.Leave("SIGTERM"))
         self.day.leaver = home
         self.day.leaving.add(home.name)
-        self.wire.at(300, self.day.end_drained)
+        self.wire.schedule(300, self.day.end_drained)
 
     @stateful.rule()
     def restore_platform(self):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -38,12 +38,12 @@
     """Lost, duplicated and reordered datagrams must not lose an answer or cause a second run."""
     wire = wires.make_service(seed=seed)
 
-    def judge(*_):
+    def message_delays(*_):
         chance = wire.rng.random()
         copies = 0 if chance < 0.1 else 2 if chance < 0.2 else 1
         return [wire.rng.randrange(1, 40) for _ in range(copies)]
 
-    wire.judge = judge
+    wire.message_delays = message_delays
     callers = [wire.add_caller() for _ in range(5)]
     sent = [
         (c, c.request("answers/20000", b"y" * 9_000, wire.now + 20_000, False, wire.now))
@@ -61,11 +61,11 @@
     wire = wires.make_service(count=2)
     sent = collections.Counter()
 
-    def judge(source, target, kind):
+    def message_delays(source, target, kind):
         sent[kind] += 1
         return [7 if kind == "FeedEvent" and sent[kind] % 2 else 1]
 
-    wire.judge = judge
+    wire.message_delays = message_delays
     caller = wire.add_caller()
     caller.subscribe("spans", 0, wire.now)
     wire.run(8_000)
@@ -86,7 +86,7 @@
     ahead.subscribe("spans", 0, wire.now)
     cut = [True]
     slow = next(a for a, c in wire.callers.items() if c is behind)
-    wire.judge = lambda s, target, kind: [] if cut[0] and target == slow else [1]
+    wire.message_delays = lambda s, target, kind: [] if cut[0] and target == slow else [1]
     behind.subscribe("spans", 0, wire.now)
     wire.run(10_000)
     assert len(ahead.events) > sidecar_state.MAX_SOURCE_EVENTS
@@ -148,7 +148,7 @@
     caller = wire.add_caller()
     wire.run(500)
     flow = caller.flow
-    wire.judge = lambda *_: [] if wire.rng.random() < 0.2 else [wires.HOP_MS]
+    wire.message_delays = lambda *_: [] if wire.rng.random() < 0.2 else [wires.HOP_MS]
     wire.run(36_000)
     request = caller.request("reports", b"r", wire.now + 20_000, False, wire.now)
     assert outcome_of(wire, caller, request).outcome is progress.Outcome.ANSWERED
@@ -166,12 +166,12 @@
     wire.run(200)
     seen = []
 
-    def judge(_source, _target, kind):
+    def message_delays(_source, _target, kind):
         if kind == lost:
             seen.append(kind)
         return [] if kind == lost and len(seen) <= 2 else [wires.HOP_MS]
 
-    wire.judge = judge
+    wire.message_delays = message_delays
     caller.close()
     wire.run(3_000)
     assert caller.is_done
@@ -184,7 +184,7 @@
 def test_a_flow_that_is_closed_before_it_is_open_leaves_no_home():
     """A flow closed while the answer to its open is in flight must not stay at a sidecar."""
     wire = wires.make_service()
-    wire.judge = lambda _s, _t, kind: [50] if kind == "Opened" else [wires.HOP_MS]
+    wire.message_delays = lambda _s, _t, kind: [50] if kind == "Opened" else [wires.HOP_MS]
     caller = wire.add_caller()
     caller.close()
     wire.run(3_000)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -373,18 +373,22 @@
     wire.run(100)
     old = next(h for h in wire.homes.values() if caller.flow in h.core.flows)
     target = next(h for h in wire.homes.values() if h is not old)
-    wire.judge = lambda s, t, k: [] if k == "TransferReply" and wire.traces_of("adopted") else [1]
+    wire.message_delays = lambda s, t, k: (
+        [] if k == "TransferReply" and wire.traces_of("adopted") else [1]
+    )
     wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
     wire.run(2_000, lambda: wire.traces_of("adopted"))
     # The caller has no new token yet: its packets reach the target through other sidecars.
     request = caller.request("report", b"r", wire.now + 9_000, False, wire.now)
-    wire.judge = lambda s, t, k: [] if k in ("TransferReply", "AnswerPart", "Moved") else [1]
+    wire.message_delays = lambda s, t, k: (
+        [] if k in ("TransferReply", "AnswerPart", "Moved") else [1]
+    )
     wire.run(60)
     ran = wire.all_runs[request]
     wire.kill(target)
     again = wire.add_home(target.name, target.address[1])
-    wire.show(again, wire.views[-1])
-    wire.judge = lambda *_: [1]
+    wire.show_view(again, wire.views[-1])
+    wire.message_delays = lambda *_: [1]
     wire.run(12_000)
     assert wire.all_runs[request] <= max(1, ran)
     assert [o.outcome for o in caller.outcomes] == [progress.Outcome.UNKNOWN]
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -51,7 +51,7 @@
     """An open must not loop between sidecars whose reports say that all others are idle."""
     wire = wires.make_service(count=5, slots=8)
     busy(wire, *wire.homes.values())
-    wire.judge = lambda source, target, kind: [] if kind == "LoadReport" else [1]
+    wire.message_delays = lambda source, target, kind: [] if kind == "LoadReport" else [1]
     for home in wire.homes.values():
         home.core.balance.policy = balance.Policy(max_passes=passes)
         for other in wire.homes.values():
@@ -83,7 +83,7 @@
             ordinary(at, core, effect)
             return
         failed = events.Failed(effect.key, "connection reset", True)
-        wire.at(1, lambda: wire.post_to(at, core, failed))
+        wire.schedule(1, lambda: wire.post_to(at, core, failed))
 
     wire.start = start
 
@@ -160,7 +160,9 @@
     """Three idle sidecars report their load to each other about once a second."""
     wire = wires.make_service()
     reports = []
-    wire.judge = lambda source, target, kind: (kind == "LoadReport" and reports.append(1)) or [1]
+    wire.message_delays = lambda source, target, kind: (
+        kind == "LoadReport" and reports.append(1)
+    ) or [1]
     wire.run(10 * SECOND)
     assert 50 <= len(reports) <= 70
 
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,7 +1,7 @@
-"""Join the decision cores by a small in-memory wire with a fake clock and a seeded scheduler.
+"""Simulate the network between the calls' cores, with a fake clock and a seeded scheduler.
 
-Nothing here decides anything: it delivers what the cores send, late, twice or not at all as a test
-asks, and stands in for the upstreams by counting every run.
+It delivers the cores' messages late, repeatedly or not at all, as a test specifies. It also
+simulates the upstreams and counts every run.
 """
 
 import collections
@@ -23,7 +23,7 @@
 FEED_EVERY_MS = 100
 TRANSFER_WAIT_MS = 500
 LEAVE_BOUND_MS = 3_000
-"""An upstream that was told to leave gets no new work after this long, in ms."""
+"""Time after which a leaving upstream must get no new request, in ms."""
 
 SERVICE = "ledger"
 ZONE = "caudan"
@@ -31,39 +31,40 @@
 
 @dataclasses.dataclass
 class Home:
-    """A sidecar's process with its upstream; `runs` counts each run by request id.
+    """A sidecar's process with its upstream; `runs` counts the runs by request id.
 
-    `inbox` holds what arrives while the process is paused, `held` the effects that it had decided
-    on but not carried out; `jobs` is what its upstream runs.
+    While the process is paused, `inbox` holds the events that arrive and `held_effects` the
+    effects that were not performed yet. `jobs` are the requests that its upstream runs.
     """
 
     name: str
     address: view.Address
     core: sidecar_state.SidecarState | None
-    kinds: set[str] = dataclasses.field(default_factory=lambda: {SERVICE})
-    offset: int = 0
+    served_services: set[str] = dataclasses.field(default_factory=lambda: {SERVICE})
+    clock_offset: int = 0
     paused_until: int = 0
     inbox: list = dataclasses.field(default_factory=list)
-    held: list = dataclasses.field(default_factory=list)
+    held_effects: list = dataclasses.field(default_factory=list)
     runs: collections.Counter = dataclasses.field(default_factory=collections.Counter)
-    services: dict[bytes, str] = dataclasses.field(default_factory=dict)
+    run_services: dict[bytes, str] = dataclasses.field(default_factory=dict)
     jobs: dict[ledger.Key, int] = dataclasses.field(default_factory=dict)
     upstream_down_until: int = 0
     stale: bool = False
     left_at: int | None = None
 
 
-def no_watch(*_) -> None:
-    """Watch nothing."""
+def ignore(*_) -> None:
+    """Do nothing; the default of the hooks."""
 
 
 class Wire:
-    """Processes by address, a queue of timed actions, and hooks for faults.
+    """The processes by address, a queue of timed actions, and hooks for faults.
 
-    `judge(source, target, kind)` returns the delays (ms) at which a message arrives; none if lost.
-    `watch(step, home, after)` is told of each step that a sidecar takes, before and after its
-    effects are carried out; it may pause or kill the process. `inspect(home, event)` follows each
-    decision. Processes have clocks of their own: `Home.offset`, and `offsets` for callers.
+    `message_delays(source, target, kind)` returns the delays (ms) at which copies of a message
+    arrive, none if it is lost; `run_delays` does so for requests to an upstream. `on_step(step,
+    home, after)` is called for each traced event of a sidecar, before and after its effects are
+    performed, and may pause or kill the process. `on_decision(home, event)` is called after each
+    decision. `Home.clock_offset` and `caller_clock_offsets` shift the clocks of processes (ms).
     """
 
     def __init__(self, seed: int = 1, limits: sidecar_state.Limits | None = None):
@@ -78,41 +79,41 @@
         self.traces: list[tuple[int, str, effects.Trace]] = []
         self.dropped: collections.Counter = collections.Counter()
         self.run_ms = RUN_MS
-        self.judge: typing.Callable[..., list[int]] = lambda *_: [HOP_MS]
-        self.judge_run: typing.Callable[[Home], list[int]] = lambda _: [HOP_MS]
+        self.message_delays: typing.Callable[..., list[int]] = lambda *_: [HOP_MS]
+        self.run_delays: typing.Callable[[Home], list[int]] = lambda _: [HOP_MS]
         self.revision = 0
         self.all_runs: collections.Counter = collections.Counter()
         self.runs_by_body: collections.Counter = collections.Counter()
-        self.said_not_run: set[bytes] = set()
-        self.offsets: dict[view.Address, int] = {}
+        self.reported_not_run: set[bytes] = set()
+        self.caller_clock_offsets: dict[view.Address, int] = {}
         self.blocked: dict[tuple, int] = {}
         self.replies: dict[int, typing.Callable] = {}
-        self.watch: typing.Callable[..., None] = no_watch
-        self.inspect: typing.Callable[..., None] = no_watch
+        self.on_step: typing.Callable[..., None] = ignore
+        self.on_decision: typing.Callable[..., None] = ignore
         self.views: list[view.View] = []
         self.platform_down = False
-        self.ran_elsewhere: list[str] = []
+        self.misplaced_runs: list[str] = []
         self.tick_ms = events.TICK_MS
-        self.tick_again()
+        self.repeat_ticks()
 
     # Time
 
-    def at(self, delay: int, action: typing.Callable[[], None]) -> None:
-        """Do something after `delay` ms."""
+    def schedule(self, delay: int, action: typing.Callable[[], None]) -> None:
+        """Schedule an action after `delay` ms."""
         self.count += 1
         heapq.heappush(self.queue, (self.now + delay, self.count, action))
 
-    def every(self, period: int, action: typing.Callable[[], None]) -> None:
-        """Do something again and again."""
+    def schedule_every(self, period: int, action: typing.Callable[[], None]) -> None:
+        """Schedule an action every `period` ms."""
 
         def again():
             action()
-            self.at(period, again)
+            self.schedule(period, again)
 
-        self.at(period, again)
+        self.schedule(period, again)
 
     def run(self, duration: int, until: typing.Callable[[], bool] = lambda: False) -> bool:
-        """Let `duration` ms pass, or less if `until` holds; return whether it held."""
+        """Run for `duration` ms, or until `until` holds; return whether it holds."""
         end = self.now + duration
         while self.queue and self.queue[0][0] <= end:
             if until():
@@ -122,10 +123,10 @@
         self.now = end
         return until()
 
-    def tick_again(self) -> None:
+    def repeat_ticks(self) -> None:
         """Tick every core that is not paused, now and after `tick_ms`."""
         self.tick()
-        self.at(self.tick_ms, self.tick_again)
+        self.schedule(self.tick_ms, self.repeat_ticks)
 
     def tick(self) -> None:
         """Tick every core that is not paused."""
@@ -136,13 +137,13 @@
             self.flush(address, caller)
 
     def caller_clock(self, address: view.Address) -> int:
-        """Return what a caller's clock says."""
-        return self.now + self.offsets.get(address, 0)
+        """Return the time by a caller's clock."""
+        return self.now + self.caller_clock_offsets.get(address, 0)
 
     # Parts
 
     def add_home(self, name: str, port: int, kind: str = SERVICE, offset: int = 0) -> Home:
-        """Start a sidecar with its upstream; a process that had the address is gone."""
+        """Start a sidecar with its upstream; it replaces a process with the same address."""
         address = ("10.0.0.1", port)
         core = sidecar.make_sidecar(
             name, self.rng.getrandbits(62) + 1, self.limits, self.rng, self.now + offset
@@ -171,7 +172,7 @@
         leaving: typing.Container[str] = (),
         to: typing.Iterable | None = None,
     ) -> view.View:
-        """Put a new view in force, at once, on the named processes or all."""
+        """Show a new view to the processes `to`, or to all."""
         self.revision += 1
         members = {
             name: [
@@ -188,74 +189,74 @@
         )
         self.views.append(made)
         for part in list(self.homes.values()) + list(self.balancers.values()) if to is None else to:
-            self.show(part, made)
+            self.show_view(part, made)
         return made
 
-    def show(self, part: Home | balancer.Balancer, made: view.View) -> None:
-        """Let one process see a view."""
+    def show_view(self, part: Home | balancer.Balancer, made: view.View) -> None:
+        """Deliver a view to one process."""
         if isinstance(part, Home):
             self.post(part, events.ViewChanged(made))
         else:
             balancer.change_view(part, made)
 
     def confirm(self) -> None:
-        """Show every process what the platform has, as a watch that is renewed does."""
+        """Send the latest view to every process, as a renewed watch does."""
         parts = list(self.homes.values()) + list(self.balancers.values())
         for part in parts:
             if not self.platform_down and not (isinstance(part, Home) and part.stale):
-                deliver = functools.partial(self.show, part, self.views[-1])
+                deliver = functools.partial(self.show_view, part, self.views[-1])
                 self.send("platform", part.address, "View", deliver)
 
     def kill(self, home: Home) -> None:
-        """End a sidecar's process without a word; what its upstream runs goes on."""
+        """Kill a sidecar's process; the runs at its upstream go on."""
         home.core = None
         if self.homes.get(home.address) is home:
             del self.homes[home.address]
 
     def kill_upstream(self, home: Home, duration: int) -> None:
-        """End an upstream with all that it runs; it is back after `duration`."""
+        """Kill an upstream with its runs, and restart it after `duration` ms."""
         home.upstream_down_until = self.now + duration
         for key in list(home.jobs):
             del home.jobs[key]
             self.post(home, events.Failed(key, "the connection broke", True))
 
     def block(self, source, target, duration: int) -> None:
-        """Let nothing pass from one process to another for a while."""
+        """Drop every message from one process to another for `duration` ms."""
         self.blocked[(source, target)] = self.now + duration
 
     def pause(self, home: Home, duration: int) -> None:
-        """Stop a sidecar's process; what arrives meanwhile waits in its socket."""
+        """Pause a sidecar's process; events that arrive meanwhile wait in its inbox."""
         home.paused_until = max(home.paused_until, self.now + duration)
-        self.at(duration, lambda: self.wake(home))
+        self.schedule(duration, lambda: self.wake(home))
 
     def wake(self, home: Home) -> None:
-        """Let a paused process go on: with what it was about to do, then with what has arrived."""
+        """Resume a paused process: perform its held effects, then post the events in its inbox."""
         if home.paused_until > self.now:
             return
-        held, home.held = home.held, []
+        held, home.held_effects = home.held_effects, []
         for core, decided in held:
-            self.carry_out_all(home, core, decided)
+            self.perform_all(home, core, decided)
         waiting, home.inbox = home.inbox, []
         for event in waiting:
-            # A view that was sent before the wake-up proves nothing; the shells read anew.
+            # A view sent before the wake-up confirms nothing; the daemons read it again.
             if not isinstance(event, events.ViewChanged):
                 self.post(home, event)
 
     def traces_of(self, event: str) -> list[str]:
-        """Return the names of the homes that took a step, in order."""
+        """Return the names of the sidecars that traced an event, in order."""
         return [name for _, name, trace in self.traces if trace.event == event]
 
     # Messages
 
     def send(self, source, target, kind: str, deliver: typing.Callable[[], None]) -> None:
-        """Deliver a message as `judge` says, unless the way is blocked."""
+        """Deliver a message with the delays from `message_delays`, unless the path is blocked."""
         if self.blocked and self.blocked.get((source, target), 0) > self.now:
             return
-        for delay in self.judge(source, target, kind):
-            self.at(delay, deliver)
+        for delay in self.message_delays(source, target, kind):
+            self.schedule(delay, deliver)
 
     def flush(self, address: view.Address, caller: call.Call) -> None:
-        """Send what a caller has to send, each datagram to any balancer."""
+        """Send each datagram in a caller's outbox to a random balancer."""
         outbox, caller.outbox = caller.outbox, []
         for payload in outbox:
             choice = self.rng.choice(list(self.balancers) or [None])
@@ -265,7 +266,7 @@
             )
 
     def at_balancer(self, address, caller: view.Address, payload: bytes) -> None:
-        """Let a balancer route a datagram."""
+        """Route a caller's datagram at a balancer."""
         part = self.balancers.get(address)
         if part is None:
             return
@@ -278,7 +279,7 @@
             self.dropped[action.reason] += 1
 
     def to_home(self, source, target: view.Address, forward: messages.Forward) -> None:
-        """Send a forwarded datagram to whichever process has the address by then."""
+        """Send a forwarded datagram to the process that has the address on arrival."""
         kind = type(caller_messages.FROM_CALLER.decode(forward.payload)).__name__
 
         def deliver():
@@ -289,7 +290,7 @@
         self.send(source, target, kind, deliver)
 
     def to_sibling(self, source, target: view.Address, report: messages.LoadReport) -> None:
-        """Send a load report to whichever process has the address by then."""
+        """Send a load report to the process that has the address on arrival."""
 
         def deliver():
             home = self.homes.get(target)
@@ -311,7 +312,7 @@
         self.send(source, target, type(message).__name__, deliver)
 
     def post(self, home: Home, event) -> None:
-        """Give a sidecar's core an event and carry out the effects."""
+        """Post an event to a sidecar's core and perform the effects."""
         if home.core is None:
             return
         if home.paused_until > self.now:
@@ -319,42 +320,42 @@
                 home.inbox.append(event)
             return
         core = home.core
-        decided = sidecar.decide(core, event, self.now + home.offset)
-        self.inspect(home, event)
+        decided = sidecar.decide(core, event, self.now + home.clock_offset)
+        self.on_decision(home, event)
         steps = [e.event for e in decided if isinstance(e, effects.Trace)]
         for step in steps:
-            self.watch(step, home, False)
-        self.carry_out_all(home, core, decided)
+            self.on_step(step, home, False)
+        self.perform_all(home, core, decided)
         for step in steps:
-            self.watch(step, home, True)
+            self.on_step(step, home, True)
 
-    def carry_out_all(self, home: Home, core: sidecar_state.SidecarState, decided: list) -> None:
-        """Do what was decided if the process still runs, at its wake-up if it is paused."""
+    def perform_all(self, home: Home, core: sidecar_state.SidecarState, decided: list) -> None:
+        """Perform effects if the process still runs; hold them while it is paused."""
         if home.core is not core:
             return
         if home.paused_until > self.now:
-            home.held.append((core, decided))
+            home.held_effects.append((core, decided))
             return
         for effect in decided:
-            self.carry_out(home, effect)
+            self.perform(home, effect)
 
-    def carry_out(self, home: Home, effect: effects.Effect) -> None:
-        """Do what a sidecar's shell would do."""
+    def perform(self, home: Home, effect: effects.Effect) -> None:
+        """Perform an effect as the sidecar's daemon does."""
         if isinstance(effect, effects.ToCaller):
-            self.return_by(home, effect)
+            self.send_via_balancer(home, effect)
         elif isinstance(effect, effects.ToSidecar):
             self.to_home(home.address, effect.address, effect.forward)
         elif isinstance(effect, effects.SendLoad):
             for address in effect.addresses:
                 self.to_sibling(home.address, address, effect.report)
         elif isinstance(effect, effects.RunRequest):
-            self.hand_over(home, effect)
+            self.send_to_upstream(home, effect)
         elif isinstance(effect, effects.CancelRequest):
             if home.jobs.pop(effect.key, None) is not None:
                 self.post(home, events.Failed(effect.key, "cancelled", True))
         elif isinstance(effect, effects.PollFeed):
             core = home.core
-            self.at(FEED_EVERY_MS, lambda: self.feed(home, core, effect))
+            self.schedule(FEED_EVERY_MS, lambda: self.feed(home, core, effect))
         elif isinstance(effect, effects.SendTransfer):
             self.transfer(home, effect)
         elif isinstance(effect, effects.AnswerTransfer):
@@ -362,11 +363,11 @@
         elif isinstance(effect, effects.Trace):
             self.traces.append((self.now, home.name, effect))
 
-    def return_by(self, home: Home, effect: effects.ToCaller) -> None:
-        """Send an answer to the balancer, which relays it if it lives."""
+    def send_via_balancer(self, home: Home, effect: effects.ToCaller) -> None:
+        """Send a message for a caller through a balancer, which relays it if it still runs."""
         message = caller_messages.TO_CALLER.decode(effect.payload)
         if isinstance(message, caller_messages.NotRun):
-            self.said_not_run.add(message.request)
+            self.reported_not_run.add(message.request)
 
         def relay():
             if effect.balancer in self.balancers:
@@ -374,37 +375,37 @@
 
         self.send(home.address, effect.balancer, "Return", relay)
 
-    def hand_over(self, home: Home, effect: effects.RunRequest) -> None:
-        """Check the deadline as the shell does and send the request to the upstream."""
+    def send_to_upstream(self, home: Home, effect: effects.RunRequest) -> None:
+        """Check the deadline as the daemon does and send the request to the upstream."""
         core = home.core
-        if self.now + home.offset >= effect.deadline:
+        if self.now + home.clock_offset >= effect.deadline:
             late = events.Failed(effect.key, "the deadline passed before it started", False)
-            self.at(0, lambda: self.post_to(home, core, late))
+            self.schedule(0, lambda: self.post_to(home, core, late))
             return
         if home.left_at is not None and self.now > home.left_at + LEAVE_BOUND_MS:
-            self.ran_elsewhere.append(f"{home.name} got new work after it was to leave")
-        delays = self.judge_run(home)
+            self.misplaced_runs.append(f"{home.name} got new work after it was to leave")
+        delays = self.run_delays(home)
         if not delays:
             lost = events.Failed(effect.key, "the connection broke", True)
-            self.at(1_000, lambda: self.post_to(home, core, lost))
+            self.schedule(1_000, lambda: self.post_to(home, core, lost))
         for delay in delays[:1]:
-            self.at(delay - 1, lambda: self.start(home, core, effect))
+            self.schedule(delay - 1, lambda: self.start(home, core, effect))
 
     def start(
         self, home: Home, core: sidecar_state.SidecarState, effect: effects.RunRequest
     ) -> None:
-        """Run a request at the upstream, which refuses one whose deadline has passed."""
+        """Run a request at the upstream, which refuses one past its deadline."""
         request = effect.key[1]
-        if home.upstream_down_until > self.now or self.now + home.offset >= effect.deadline:
+        if home.upstream_down_until > self.now or self.now + home.clock_offset >= effect.deadline:
             refused = events.Failed(effect.key, "the upstream refuses", False)
-            self.at(0, lambda: self.post_to(home, core, refused))
+            self.schedule(0, lambda: self.post_to(home, core, refused))
             return
-        if effect.service not in home.kinds:
-            self.ran_elsewhere.append(f"{home.name} ran a request of {effect.service}")
+        if effect.service not in home.served_services:
+            self.misplaced_runs.append(f"{home.name} ran a request of {effect.service}")
         home.runs[request] += 1
         self.all_runs[request] += 1
         self.runs_by_body[effect.body] += 1
-        home.services[request] = effect.service
+        home.run_services[request] = effect.service
         home.jobs[effect.key] = self.count
         job = self.count
         body = self.answer_to(effect.path, effect.body)
@@ -415,31 +416,31 @@
                 self.post_to(home, core, events.Finished(effect.key, 200, body))
 
         slow = int(effect.path.split("/")[1]) if effect.path.startswith("slow/") else self.run_ms
-        self.at(slow, done)
+        self.schedule(slow, done)
 
     @staticmethod
     def answer_to(path: str, body: bytes) -> bytes:
-        """Return the answer that the upstreams give: any of them gives the same one."""
+        """Return the upstreams' answer to a request; all upstreams give the same one."""
         if path.startswith("answers/"):
             return bytes(i % 251 for i in range(int(path.split("/")[1])))
         return b"done:" + body[:100]
 
     def feed(self, home: Home, core: sidecar_state.SidecarState, effect: effects.PollFeed) -> None:
-        """Give the events of a feed: alike at every upstream."""
+        """Return the events of a feed to the sidecar; all upstreams have the same ones."""
         newest = (self.now - FEED_START) // FEED_EVERY_MS
         last = min(newest, effect.after + 64)
         batch = tuple((p, b"event %d" % p) for p in range(effect.after + 1, last + 1))
         self.post_to(home, core, events.FeedBatch(effect.path, effect.after, batch))
 
     def post_to(self, home: Home, core: sidecar_state.SidecarState, event) -> None:
-        """Post an event if the same start of the sidecar still runs."""
+        """Post an event if the sidecar has not been restarted since."""
         if home.core is core:
             self.post(home, event)
 
     def transfer(self, home: Home, effect: effects.SendTransfer) -> None:
-        """Carry a handover to its target and the reply back: one of it, or none in time.
+        """Deliver a transfer to its target and the reply back, or post a failure after a timeout.
 
-        A paused target finds the transfer in its socket when it wakes, however late that is.
+        A paused target receives the transfer when it resumes, however late.
         """
         core = home.core
         content = effect.transfer
@@ -468,11 +469,11 @@
 
         if len(transfer.TRANSFERS.encode(content)) <= bulk.MAX_MESSAGE_BYTES:
             self.send(home.address, effect.address, "Transfer", arrive)
-        self.at(TRANSFER_WAIT_MS, give_up)
+        self.schedule(TRANSFER_WAIT_MS, give_up)
 
 
 def make_service(count: int = 3, balancers: int = 3, seed: int = 1, **limits) -> Wire:
-    """Return a wire with one service of `count` upstreams behind some balancers."""
+    """Return a wire with one service of `count` upstreams and some balancers."""
     wire = Wire(seed, sidecar_state.Limits(**limits))
     for number in range(balancers):
         wire.add_balancer(100 + number)
