--- a/src/ebonystile/commands/__init__.py
+++ b/src/ebonystile/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Parse command lines and start the programs."""
+"""Command lines of all programs."""
--- a/src/ebonystile/commands/balancer.py
+++ b/src/ebonystile/commands/balancer.py
@@ -7,7 +7,7 @@
 
 @shell.program("ebonystile-balancer")
 def main(path):
-    """Route callers' packets to sidecars until SIGTERM; then relay on until drained.
+    """Route callers' packets to sidecars until SIGTERM, then keep relaying until drained.
 
     Exit status: 0 after a graceful stop, 1 if it couldn't start or failed, 2 for wrong settings.
     """
--- a/src/ebonystile/commands/call.py
+++ b/src/ebonystile/commands/call.py
@@ -1,4 +1,4 @@
-"""Call a service as a caller does: `ebonystile call`."""
+"""Send a request as a caller: `ebonystile call`."""
 
 import contextlib
 import sys
@@ -11,7 +11,7 @@
 
 EXIT_NOT_RUN = 3
 EXIT_OUTCOME_UNKNOWN = 4
-"""Exit statuses: the request surely was not run; nobody can tell whether it was."""
+"""Exit statuses: the request was certainly not run; it is unknown whether it was run."""
 
 
 @click.command("call")
@@ -23,25 +23,30 @@
     multiple=True,
     required=True,
     type=shell.AddressType(),
-    help="Address that packets go to; repeat it for more, each packet takes any of them.",
+    help="Address of a balancer; may be repeated, and each packet goes to any one of them.",
 )
-@click.option("--data", default="", help="The request's body as text.")
+@click.option("--data", default="", help="Body of the request, as text.")
 @click.option("--file", type=click.File("rb"), help="Read the body from a file; - for stdin.")
 @click.option(
     "--idempotent/--once",
     default=False,
-    help="Whether running the request twice does no harm; --once is assumed.",
+    help="Whether the request may be run more than once; the default is --once.",
 )
 @click.option("--deadline-ms", type=click.IntRange(1), default=10_000, show_default=True)
-@click.option("--feed", is_flag=True, help="Follow PATH as a feed instead: one line an event.")
-@click.option("--position", type=click.IntRange(0), default=0, help="Last event already known.")
-@click.option("--count", type=click.IntRange(1), help="End after this many events.")
+@click.option("--feed", is_flag=True, help="Follow PATH as a feed and print one line per event.")
+@click.option(
+    "--position",
+    type=click.IntRange(0),
+    default=0,
+    help="Position of the last event already received.",
+)
+@click.option("--count", type=click.IntRange(1), help="Stop after this many events.")
 @shell.report_errors
 def show(service, path, balancers, data, file, idempotent, deadline_ms, feed, position, count):
     """Send one request to SERVICE and print the answer, or follow a feed.
 
-    Exit status: 0 answered, 1 it could not be done, 2 wrong use, 3 the request was not run and
-    never will be (the line tells when to come back), 4 nobody can tell whether it was run.
+    Exit status: 0 answered, 1 failed, 2 wrong usage, 3 the request was not run and never will be
+    (the message says when to retry), 4 it is unknown whether the request was run.
     """
     deadline = clock.now() + deadline_ms
     with contextlib.closing(client.make_caller(balancers)) as caller:
@@ -56,12 +61,12 @@
 def send_request(
     flow: client.Flow, path: str, body: bytes, deadline: int, idempotent: bool
 ) -> None:
-    """Send one request; print the answer, or say what became of it."""
+    """Send one request; print the answer, or report its outcome and exit."""
     try:
         answer = flow.request(path, body, deadline, idempotent=idempotent)
     except errors.NotRunError as error:
         wait = max(0, error.retry_at - clock.now())
-        click.echo(f"not run: {error.reason}; come back in {wait} ms", err=True)
+        click.echo(f"not run: {error.reason}; retry in {wait} ms", err=True)
         raise click.exceptions.Exit(EXIT_NOT_RUN) from error
     except errors.OutcomeUnknownError as error:
         click.echo(f"outcome unknown: {error.reason}", err=True)
@@ -71,7 +76,7 @@
 
 
 def follow(feed: client.Feed, idle_timeout_ms: int, count: int | None) -> None:
-    """Print events, a line each, until `count` came or none did for `idle_timeout_ms`."""
+    """Print events, one per line, until `count` were received; raise after `idle_timeout_ms`."""
     printed = 0
     while count is None or printed < count:
         event = feed.next(clock.now() + idle_timeout_ms)
--- a/src/ebonystile/commands/check.py
+++ b/src/ebonystile/commands/check.py
@@ -1,4 +1,4 @@
-"""Check settings and documents before they are used: `ebonystile check`."""
+"""Validate settings and documents before they are used: `ebonystile check`."""
 
 import pathlib
 import typing
@@ -17,38 +17,40 @@
 }
 CARRIER_LABEL = "carrier settings"
 CARRIER = "carrier"
-"""The settings that the platform fills in for the daemons that carry foreign flows."""
+"""Settings of the carrying daemons, filled in by the platform."""
 
 KINDS = (*SETTINGS, CARRIER, *documents.MODELS)
 
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--kind", type=click.Choice(KINDS), help="What the files are, if it isn't plain.")
+@click.option(
+    "--kind", type=click.Choice(KINDS), help="Kind of the files, if their keys don't show it."
+)
 @shell.report_errors
 def check(files, kind):
     """Check FILES: settings of any program, or documents for the platform.
 
-    Every fault of every file is shown with its path. The exit status is 2 if there is one.
+    Every fault of every file is shown with its path. The exit status is 2 if there is any.
     """
     faulty = False
     for file in files:
         try:
-            found = check_file(pathlib.Path(file), kind)
+            label = check_file(pathlib.Path(file), kind)
         except errors.SettingsError as error:
             faulty = True
             for fault in error.faults:
                 click.echo(f"{file}: {fault}", err=True)
         else:
-            click.echo(f"{file}: {found} ok")
-            for line in explain_fields(pathlib.Path(file), found):
+            click.echo(f"{file}: {label} ok")
+            for line in explain_fields(pathlib.Path(file), label):
                 click.echo(f"  {line}")
     if faulty:
         raise click.exceptions.Exit(shell.INVALID_INPUT)
 
 
 def check_file(path: pathlib.Path, kind: str | None) -> str:
-    """Return what the file is; raise `SettingsError` with every fault."""
+    """Validate a file and return a label of its kind; raise `SettingsError` with every fault."""
     value = validation.read_json(path, step=STEP)
     kind = kind or kind_of(value, str(path))
     if kind in SETTINGS:
@@ -61,19 +63,19 @@
     return f"{kind} document"
 
 
-def explain_fields(path: pathlib.Path, found: str) -> list[str]:
-    """Return what the fields mean, for settings that somebody else filled in."""
-    if found != CARRIER_LABEL:
+def explain_fields(path: pathlib.Path, label: str) -> list[str]:
+    """Return a line for each field of carrier settings, with its value and meaning."""
+    if label != CARRIER_LABEL:
         return []
-    settings_read = node.read(path)
+    node_settings = node.read(path)
     return [
-        f"{name}: {getattr(settings_read, name) or 'none'} ({meaning})"
+        f"{name}: {getattr(node_settings, name) or 'none'} ({meaning})"
         for name, meaning in node.MEANINGS.items()
     ]
 
 
 def kind_of(value: typing.Any, peer: str) -> str:
-    """Return the kind with the most of the value's keys, so that a misspelt key misleads nobody."""
+    """Return the kind that shares the most keys with the value, to tolerate misspelt keys."""
     keys = set(value) if isinstance(value, dict) else set()
     models = {**SETTINGS, **documents.MODELS}
     fields = {kind: set(model.model_fields) for kind, model in models.items()}
@@ -81,6 +83,6 @@
     shared = {kind: len(keys & known) for kind, known in fields.items()}
     best = max(shared, key=lambda kind: shared[kind])
     if not shared[best]:
-        fault = f"holds no known key; say what it is by --kind {'|'.join(KINDS)}"
+        fault = f"holds no known key; give its kind by --kind {'|'.join(KINDS)}"
         raise errors.SettingsError([fault], step=STEP, peer=peer)
     return best
--- a/src/ebonystile/commands/completion.py
+++ b/src/ebonystile/commands/completion.py
@@ -1,4 +1,4 @@
-"""Print the code that completes commands in a shell: `ebonystile completion`."""
+"""Print the shell completion code: `ebonystile completion`."""
 
 import click
 from click import shell_completion
@@ -18,5 +18,5 @@
     """
     completer_class = shell_completion.get_completion_class(shell)
     completer = completer_class(context.find_root().command, {}, PROGRAM, VARIABLE)
-    # The bash class starts a bash to ask for its version; ours start no other process.
+    # The override in click's bash class runs bash to check its version; call the base method.
     click.echo(shell_completion.ShellComplete.source(completer))
--- a/src/ebonystile/commands/explain.py
+++ b/src/ebonystile/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tell where a flow goes and why: `ebonystile explain`."""
+"""Explain where a flow is routed: `ebonystile explain`."""
 
 import functools
 
@@ -11,16 +11,14 @@
 @click.command("explain")
 @click.argument("service")
 @click.argument("flow", type=shell.IdType())
-@click.option(
-    "--token", type=shell.IdType(), default=b"", help="The token of the caller's packets."
-)
+@click.option("--token", type=shell.IdType(), default=b"", help="Token of the caller's packets.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @shell.with_query_options
 def show(context, service, flow, token, as_json):
-    """Tell where packets of FLOW go for SERVICE, and why, at which revision.
+    """Explain where packets of FLOW to SERVICE are sent, why, and at which revision.
 
-    FLOW is the whole flow id in hex, as logs and the time line show it. Each process is asked by
-    its own view, so that differences between them show.
+    FLOW is the whole flow id in hex, as logs and the time line show it. Each process answers from
+    its own view, so differences between them are visible.
     """
     flow = shell.require_full_id(flow, "a flow id")
     make = functools.partial(messages.ExplainRequest, service=service, flow=flow, token=token)
--- a/src/ebonystile/commands/operator.py
+++ b/src/ebonystile/commands/operator.py
@@ -1,4 +1,4 @@
-"""The operators' client, `ebonystile`: it shows and checks, and changes nothing that runs."""
+"""The operators' client, `ebonystile`: read-only commands for a running system."""
 
 import click
 
@@ -22,12 +22,12 @@
 @click.group(context_settings=shell.CONTEXT)
 @click.version_option(ebonystile.__version__, prog_name="ebonystile")
 def main():
-    """Look at ebonystile from an operator's desk.
+    """Inspect an ebonystile system.
 
-    No command changes a running system: publish labels and selectors for that. Commands that ask
+    No command changes a running system: publish labels and selectors for that. Commands that query
     processes need settings with the system's keys, by --settings or EBONYSTILE_SETTINGS.
 
-    Exit status: 0 done, 1 couldn't be done, 2 settings, documents or the command line are wrong.
+    Exit status: 0 done, 1 failed, 2 settings, documents or the command line are wrong.
     """
 
 
--- a/src/ebonystile/commands/preview.py
+++ b/src/ebonystile/commands/preview.py
@@ -1,4 +1,4 @@
-"""Show what a change would match and move before it is published: `ebonystile preview`."""
+"""Show the effect of changed documents before they are published: `ebonystile preview`."""
 
 import pathlib
 import typing
@@ -15,38 +15,38 @@
 
 STEP = "preview"
 PRESENT_REVISION = 1
-"""The revision that documents from files are given; any would do."""
+"""Revision assigned to documents from files; its value has no effect."""
 
 INSTANCES = pydantic.TypeAdapter(list[platform_client.Instance])
 
 
 @click.command("preview")
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--key", help="The platform's key of the one document given.")
+@click.option("--key", help="Key of the document on the platform, if a single file is given.")
 @click.option(
     "--present",
     multiple=True,
     type=click.Path(dir_okay=False),
-    help="A document as it is in force now, instead of the platform's; may be repeated.",
+    help="A document now in force, instead of the platform's; may be repeated.",
 )
 @click.option(
     "--instances",
     type=click.Path(dir_okay=False),
-    help="The list of instances to go with --present, as the platform gives it.",
+    help="The list of instances to use with --present, in the platform's format.",
 )
-@click.option("--flows/--no-flows", default=True, help="Ask how many flows would move.")
+@click.option("--flows/--no-flows", default=True, help="Query how many flows would move.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @shell.with_query_options
 def show(context, files, key, present, instances, flows, as_json):
     """Show what publishing the changed documents in FILES would do; nothing is published.
 
     The key of each document is its kind and the file's name: services/main for main.json that
-    holds services. A document that would be refused is told with every fault, exit status 2.
+    holds services. The faults of a document that would be refused are shown, with exit status 2.
     """
     if key and len(files) != 1:
-        raise click.UsageError("--key goes with one file")
+        raise click.UsageError("--key can be used with one file only")
     if bool(present) != bool(instances):
-        raise click.UsageError("--present and --instances go together")
+        raise click.UsageError("--present and --instances must be used together")
     changed = read_documents(files, key)
     configured = configuration_of(context, present, instances)
     for name in sorted(changed.keys() - configured.values.entries.keys()):
@@ -60,7 +60,7 @@
 
 
 def read_documents(files: abc.Iterable[str], key: str | None = None) -> dict[str, typing.Any]:
-    """Return the documents in the files by their keys; raise `SettingsError`."""
+    """Read the documents in the files, by key; raise `SettingsError`."""
     documents: dict[str, typing.Any] = {}
     for file in files:
         path = pathlib.Path(file)
@@ -75,7 +75,7 @@
 def configuration_of(
     context: shell.QueryContext, present: abc.Sequence[str], instances: str | None
 ) -> configuration.Configuration:
-    """Return what is in force now, by the files or by the platform."""
+    """Return the configuration now in force, from the files or from the platform."""
     if instances is not None:
         values = [(k, PRESENT_REVISION, v) for k, v in read_documents(present).items()]
         listed = read_instances(instances)
@@ -87,7 +87,7 @@
 
 
 def read_instances(file: str) -> list[platform_client.Instance]:
-    """Return the list of instances in a file; raise `SettingsError` with every fault."""
+    """Read a list of instances from a file; raise `SettingsError` with every fault."""
     value = validation.read_json(file, step=STEP)
     try:
         return INSTANCES.validate_python(value)
@@ -97,7 +97,7 @@
 
 
 def flow_counts(context: shell.QueryContext, result: preview.Preview) -> dict[str, int | None]:
-    """Return how many flows each upstream that would leave a service holds now."""
+    """Query the number of flows of each upstream that would leave a service."""
     leaving = {name for change in result.changes for name in change.leave}
     if not leaving:
         return {}
--- a/src/ebonystile/commands/reference.py
+++ b/src/ebonystile/commands/reference.py
@@ -1,4 +1,4 @@
-"""Print what can be set for each program: `ebonystile settings`."""
+"""Print the reference of all settings: `ebonystile settings`."""
 
 import click
 import msgspec
@@ -15,7 +15,7 @@
 
 
 def carrier_setting(field: msgspec.structs.FieldInfo) -> reference.Setting:
-    """Return what the reference tells of a setting of the daemons on the users' platform."""
+    """Return the reference entry of a setting of the carrying daemons."""
     if field.name in node.SIDECAR_FIELDS:
         need = "required for sidecars"
     else:
--- a/src/ebonystile/commands/shell.py
+++ b/src/ebonystile/commands/shell.py
@@ -1,7 +1,6 @@
-"""What all commands share: exit statuses, how errors are told, and the operator's settings.
+"""Shared parts of all commands: exit statuses, error reports, option types and queries.
 
-A fault that the user can mend is told in readable lines on standard error; a bug keeps its
-traceback.
+Expected errors are printed as lines on standard error; a bug keeps its traceback.
 """
 
 import dataclasses
@@ -25,14 +24,14 @@
 SUCCESS = 0
 FAILURE = 1
 INVALID_INPUT = 2
-"""Exit statuses: done; couldn't be done; settings, documents or the command line are wrong."""
+"""Exit statuses; `INVALID_INPUT` is for settings, documents or a command line that are wrong."""
 
 CONTEXT = {"help_option_names": ["-h", "--help"]}
 SETTINGS_VARIABLE = "EBONYSTILE_SETTINGS"
 
 
 def report_errors(function: abc.Callable) -> abc.Callable:
-    """Return the command with errors that are no bugs told as lines and as an exit status."""
+    """Wrap a command to print expected errors as lines and set the exit status."""
 
     @functools.wraps(function)
     def command(*args, **kwargs):
@@ -50,12 +49,12 @@
 
 
 def iter_lines(files: abc.Sequence[typing.TextIO]) -> abc.Iterator[str]:
-    """Return the lines of all files, one after the other, or those of standard input."""
+    """Iterate over the lines of all files, or of standard input if there are none."""
     return itertools.chain.from_iterable(files or (sys.stdin,))
 
 
 def program(name: str) -> abc.Callable:
-    """Return a decorator that makes a function of a settings file the command of a program."""
+    """Return a decorator that turns a function of a settings path into a program's command."""
 
     def decorate(function: abc.Callable) -> click.Command:
         command = report_errors(function)
@@ -73,12 +72,12 @@
 
 
 class AddressType(click.ParamType):
-    """An address on the command line, as ip:port."""
+    """An address as ip:port."""
 
     name = "ip:port"
 
     def convert(self, value, param, ctx):
-        """Return the address, or tell why it is none."""
+        """Parse the address, or fail with the reason."""
         try:
             return settings.parse_address(value) if isinstance(value, str) else value
         except ValueError as error:
@@ -86,12 +85,12 @@
 
 
 class MomentType(click.ParamType):
-    """A time on the command line, as time lines show it."""
+    """A time in ISO 8601, as time lines show it."""
 
     name = "time"
 
     def convert(self, value, param, ctx):
-        """Return the time in ms since the epoch, or tell why it is none."""
+        """Return the time in ms since the epoch, or fail with the reason."""
         try:
             moment = datetime.datetime.fromisoformat(value)
         except ValueError:
@@ -100,12 +99,12 @@
 
 
 class IdType(click.ParamType):
-    """An id on the command line, in hex; the beginning of one is enough for a filter."""
+    """An id in hex; filters also accept a prefix of one."""
 
     name = "hex"
 
     def convert(self, value, param, ctx):
-        """Return the bytes, or tell that it isn't hex."""
+        """Return the bytes, or fail if the value is not hex."""
         try:
             return bytes.fromhex(value) if isinstance(value, str) else value
         except ValueError:
@@ -113,7 +112,7 @@
 
 
 def with_query_options(function: abc.Callable) -> abc.Callable:
-    """Give a command the options of those that ask processes, and a `QueryContext` made of them."""
+    """Add the options for querying processes to a command, and pass it a `QueryContext`."""
 
     @click.option(
         "--settings",
@@ -128,9 +127,9 @@
         "addresses",
         multiple=True,
         type=AddressType(),
-        help="Ask only this process; may be repeated. Without it the platform's list is asked.",
+        help="Query only this process; may be repeated. By default all on the platform's list.",
     )
-    @click.option("--wait-ms", type=click.IntRange(1), help="Longest wait for each process.")
+    @click.option("--wait-ms", type=click.IntRange(1), help="Timeout for each process.")
     @report_errors
     @functools.wraps(function)
     def command(path, addresses, wait_ms, **kwargs):
@@ -142,7 +141,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueryContext:
-    """What a command needs to ask the platform and the processes."""
+    """What a command needs to query the platform and the processes.
+
+    `selected` are the processes given on the command line; `seeds` are those of the settings.
+    """
 
     client: client.Client
     platform: platform_client.Platform | None
@@ -150,19 +152,19 @@
     selected: tuple[view.Address, ...]
 
     def find_processes(self) -> list[client.Process]:
-        """Return the processes to ask; raise `PeerError` where none is known."""
+        """Return the processes to query; raise `PeerError` if none is known."""
         if self.selected:
             return directory.processes_at(self.selected)
-        found = directory.find(self.client, self.platform, self.seeds)
-        for warning in found.warnings:
+        discovery = directory.find(self.client, self.platform, self.seeds)
+        for warning in discovery.warnings:
             click.echo(f"warning: {warning}", err=True)
-        if not found.processes:
+        if not discovery.processes:
             reason = "no process is known; name one by --process"
             raise errors.PeerError(reason, step="find processes", peer="platform")
-        return list(found.processes)
+        return list(discovery.processes)
 
     def query_all(self, make: client.QuestionFactory) -> list[client.Reply]:
-        """Ask all processes; raise `PeerError` where not one of them answers."""
+        """Query all processes; raise `PeerError` if none of them answers."""
         replies = self.client.ask_all(self.find_processes(), make)
         if all(reply.answer is None for reply in replies):
             first = replies[0]
@@ -171,26 +173,28 @@
         return replies
 
     def deadline(self) -> int:
-        """Return the end, in ms, of a wait that starts now."""
+        """Return the deadline, in ms, of a query that starts now."""
         return clock.now() + self.client.wait_ms
 
 
 def make_query_context(
-    read: settings.OperatorSettings,
+    operator_settings: settings.OperatorSettings,
     addresses: abc.Sequence[view.Address],
     wait_ms: int | None,
 ) -> QueryContext:
-    """Return a context by the settings, with what the command line puts in their place."""
+    """Build the context from the settings; options of the command line take precedence."""
     query_client = client.make_client(
-        read.keys,
-        wait_ms=wait_ms or read.wait_ms,
-        parallel=read.parallel,
+        operator_settings.keys,
+        wait_ms=wait_ms or operator_settings.wait_ms,
+        parallel=operator_settings.parallel,
         randomness=random.SystemRandom(),
     )
     platform = None
-    if read.platform is not None:
-        platform = platform_client.make_platform(read.platform, clock.now)
-    return QueryContext(query_client, platform, tuple(read.processes), tuple(addresses))
+    if operator_settings.platform is not None:
+        platform = platform_client.make_platform(operator_settings.platform, clock.now)
+    return QueryContext(
+        query_client, platform, tuple(operator_settings.processes), tuple(addresses)
+    )
 
 
 def print_json(value: typing.Any) -> None:
@@ -199,7 +203,7 @@
 
 
 def require_full_id(value: bytes, name: str) -> bytes:
-    """Return a whole id; a command that needs one can't do with its beginning."""
+    """Return the id if it is complete; raise `click.BadParameter` for a prefix."""
     if len(value) != messages.ID_BYTES:
         raise click.BadParameter(f"{name} is {2 * messages.ID_BYTES} hexadecimal digits")
     return value
--- a/src/ebonystile/commands/sidecar.py
+++ b/src/ebonystile/commands/sidecar.py
@@ -1,4 +1,4 @@
-"""Start the process beside an upstream: `ebonystile-sidecar`."""
+"""Start a sidecar: `ebonystile-sidecar`."""
 
 from ebonystile import settings
 from ebonystile.commands import shell
@@ -7,7 +7,7 @@
 
 @shell.program("ebonystile-sidecar")
 def main(path):
-    """Hold the flows and requests of one upstream until SIGTERM; then finish and hand over.
+    """Serve the flows and requests of one upstream until SIGTERM, then drain and hand over.
 
     Exit status: 0 after a graceful stop, 1 if it couldn't start or failed, 2 for wrong settings.
     """
--- a/src/ebonystile/commands/status.py
+++ b/src/ebonystile/commands/status.py
@@ -1,4 +1,4 @@
-"""Show how all processes are: `ebonystile status`."""
+"""Show the status of all processes: `ebonystile status`."""
 
 import click
 
@@ -7,12 +7,12 @@
 
 
 @click.command("status")
-@click.option("--json", "as_json", is_flag=True, help="Print a JSON array, one object a process.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON array, one object per process.")
 @shell.with_query_options
 def show(context, as_json):
-    """Show every process in one table.
+    """Show the status of every process in one table.
 
-    A * after a revision marks one that is behind. A process that doesn't answer is shown as
+    A * marks a revision that is behind the newest. A process that doesn't answer is shown as
     unreachable; if none answers, the exit status is 1.
     """
     replies = context.query_all(messages.StatusRequest)
--- a/src/ebonystile/commands/trace.py
+++ b/src/ebonystile/commands/trace.py
@@ -1,4 +1,4 @@
-"""Follow a carried flow through logs: `ebonystile trace`."""
+"""Trace a carried flow through logs: `ebonystile trace`."""
 
 import click
 
