--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""Word the promises as the brief does, and bring about what they are meant for."""
+"""Steps of the features that state the promises, run on the simulated network of `tests.wire`."""
 
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
@@ -10,11 +10,11 @@
 
 LINE_STATUS = wires.SERVICE
 EVIDENCE = "evidence"
-SOON = 20_000
+MAX_WAIT_MS = 20_000
 
 
-class Stage:
-    """What the steps of one scenario share."""
+class ScenarioState:
+    """State shared by the steps of one scenario."""
 
     def __init__(self):
         self.wire = wires.make_service(count=3)
@@ -39,7 +39,7 @@
         return self.request
 
     def outcome(self, caller=None, request=None):
-        """Return the final word on a request, waiting for it."""
+        """Wait for the outcome of a request and return it."""
         caller = caller or self.caller
         request = request or self.request
         found = []
@@ -48,7 +48,7 @@
             found[:] = [o for o in caller.outcomes if o.request == request]
             return found
 
-        assert self.wire.run(SOON, ended)
+        assert self.wire.run(MAX_WAIT_MS, ended)
         return found[0]
 
     def publish(self, leaving=(), to=None):
@@ -58,220 +58,220 @@
 
 
 @pytest.fixture
-def stage():
-    return Stage()
+def state():
+    return ScenarioState()
 
 
-@given("a crew follows the live feed of the line-status service")
-def follow(stage):
-    stage.open()
-    stage.caller.subscribe("spans", 900, stage.wire.now)
-    stage.wire.run(500)
+@given("a caller follows the live feed of the line-status service")
+def follow_feed(state):
+    state.open()
+    state.caller.subscribe("spans", 900, state.wire.now)
+    state.wire.run(500)
 
 
-@given(parsers.re("an? (adjuster|crew) holds a flow to the (ledger|line-status service)"))
-def hold(stage):
-    stage.open()
+@given(parsers.re("a caller holds a flow to the (ledger|line-status service)"))
+def hold_flow(state):
+    state.open()
 
 
 @when("every upstream is replaced in turn")
-def replace(stage):
-    for number, home in enumerate(list(stage.wire.homes.values())):
-        stage.wire.add_home(f"new-{number}", 300 + number)
-        stage.publish(leaving={home.name})
-        stage.wire.run(3_000)
-        stage.wire.kill(home)
-        stage.publish()
-        stage.wire.run(1_000)
+def replace_upstreams(state):
+    for number, home in enumerate(list(state.wire.homes.values())):
+        state.wire.add_home(f"new-{number}", 300 + number)
+        state.publish(leaving={home.name})
+        state.wire.run(3_000)
+        state.wire.kill(home)
+        state.publish()
+        state.wire.run(1_000)
 
 
 @then("the feed has lost and repeated no event")
-def unbroken(stage):
-    positions = [e.position for e in stage.caller.events]
+def check_feed_complete(state):
+    positions = [e.position for e in state.caller.events]
     assert positions == list(range(901, 901 + len(positions)))
-    assert positions[-1] >= (stage.wire.now - wires.FEED_START) // wires.FEED_EVERY_MS - 20
+    assert positions[-1] >= (state.wire.now - wires.FEED_START) // wires.FEED_EVERY_MS - 20
 
 
-@then("the crew never had to open its flow anew")
-def kept(stage):
-    assert stage.caller.reopen_count == 0
+@then("the caller never reopened its flow")
+def check_never_reopened(state):
+    assert state.caller.reopen_count == 0
 
 
 @when("the address of its upstream goes to the evidence service")
-def reuse(stage):
-    home = stage.home()
-    stage.wire.kill(home)
-    taker = stage.wire.add_home("evidence-0", home.address[1], EVIDENCE)
-    # The balancers have not heard of it: they go on sending to that address.
-    stage.publish(to=[taker])
+def reuse_address(state):
+    home = state.home()
+    state.wire.kill(home)
+    new_home = state.wire.add_home("evidence-0", home.address[1], EVIDENCE)
+    # Balancers keep their old view and go on sending to that address.
+    state.publish(to=[new_home])
 
 
-@when("the adjuster sends an offset demand")
-def demand(stage):
-    stage.ask()
-    stage.wire.run(SOON)
+@when("the caller sends an offset demand")
+def send_demand(state):
+    state.ask()
+    state.wire.run(MAX_WAIT_MS)
 
 
 @then("no upstream ran a request of another service")
-def kept_apart(stage):
-    assert stage.wire.misplaced_runs == []
-    assert stage.wire.all_runs[stage.request] <= 1
+def check_no_foreign_runs(state):
+    assert state.wire.misplaced_runs == []
+    assert state.wire.all_runs[state.request] <= 1
     assert all(
-        stage.request not in h.runs
-        for h in stage.wire.homes.values()
+        state.request not in h.runs
+        for h in state.wire.homes.values()
         if EVIDENCE in h.served_services
     )
 
 
 @given("answers come late, twice and out of order")
-def disorder(stage):
-    rng = stage.wire.rng
-    stage.wire.message_delays = lambda *_: [
+def disorder_answers(state):
+    rng = state.wire.rng
+    state.wire.message_delays = lambda *_: [
         rng.randrange(1, 60) for _ in range(rng.choice([1, 1, 2]))
     ]
 
 
 @when("several callers ask for large answers at the same time")
-def ask_all(stage):
+def request_large_answers(state):
     for size in (10, 5_000, 40_000, 100_000):
-        stage.ask(f"answers/{size}", caller=stage.wire.add_caller())
+        state.ask(f"answers/{size}", caller=state.wire.add_caller())
 
 
 @then("each has the whole answer to its own request")
-def whole(stage):
-    for caller, request, path in stage.asked:
-        assert stage.outcome(caller, request).body == stage.wire.answer_to(path, b"body")
+def check_whole_answers(state):
+    for caller, request, path in state.asked:
+        assert state.outcome(caller, request).body == state.wire.answer_to(path, b"body")
 
 
-@when("an offset demand is held up on the way and settled meanwhile")
-def hold_up(stage):
-    stage.wire.message_delays = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
-    stage.ask()
-    stage.wire.run(100)
-    stage.caller.settle(stage.request, stage.wire.now)
+@when("an offset demand is delayed in transit and settled meanwhile")
+def delay_and_settle(state):
+    state.wire.message_delays = lambda _s, _t, kind: [3_000] if kind == "Request" else [1]
+    state.ask()
+    state.wire.run(100)
+    state.caller.settle(state.request, state.wire.now)
 
 
-@then("the adjuster is told at once that it was not run")
-def told(stage):
-    asked_at = stage.wire.now
-    assert stage.outcome().outcome is progress.Outcome.NOT_RUN
-    assert stage.wire.now - asked_at < 500
+@then("the caller learns at once that it was not run")
+def check_not_run_at_once(state):
+    asked_at = state.wire.now
+    assert state.outcome().outcome is progress.Outcome.NOT_RUN
+    assert state.wire.now - asked_at < 500
 
 
 @then("the demand that arrives late is not run")
-def never(stage):
-    stage.wire.run(10_000)
-    assert stage.wire.all_runs[stage.request] == 0
+def check_never_run(state):
+    state.wire.run(10_000)
+    assert state.wire.all_runs[state.request] == 0
 
 
-@when("each copy of its defect report comes twice and the answers are lost")
-def twice(stage):
-    lost_until = stage.wire.now + 2_000
+@when("each copy of its defect report is duplicated and the answers are lost")
+def duplicate_requests(state):
+    lost_until = state.wire.now + 2_000
 
     def message_delays(_source, _target, kind):
-        if kind in ("AnswerPart", "Running") and stage.wire.now < lost_until:
+        if kind in ("AnswerPart", "Running") and state.wire.now < lost_until:
             return []
         return [1, 300] if kind == "Request" else [1]
 
-    stage.wire.message_delays = message_delays
-    stage.ask()
-    stage.wire.run(400)
+    state.wire.message_delays = message_delays
+    state.ask()
+    state.wire.run(400)
 
 
 @when("the upstream leaves meanwhile")
-def leave(stage):
-    stage.publish(leaving={stage.home().name})
+def leave_upstream(state):
+    state.publish(leaving={state.home().name})
 
 
 @then("the defect report ran once")
-def once(stage):
-    stage.wire.run(10_000)
-    assert stage.wire.all_runs[stage.request] == 1
+def check_run_once(state):
+    state.wire.run(10_000)
+    assert state.wire.all_runs[state.request] == 1
 
 
-@then("the crew has the answer")
-def answered(stage):
-    assert stage.outcome().outcome is progress.Outcome.ANSWERED
+@then("the caller has the answer")
+def check_answered(state):
+    assert state.outcome().outcome is progress.Outcome.ANSWERED
 
 
 @when("the home of its flow dies while it runs the defect report")
-def die(stage):
-    stage.ask("slow/1000")
-    stage.wire.run(300)
-    stage.wire.kill(stage.home())
-    stage.publish()
+def kill_home(state):
+    state.ask("slow/1000")
+    state.wire.run(300)
+    state.wire.kill(state.home())
+    state.publish()
 
 
-@then("the crew is told that the outcome is unknown")
-def unknown(stage):
-    assert stage.outcome().outcome is progress.Outcome.UNKNOWN
+@then("the caller learns that the outcome is unknown")
+def check_outcome_unknown(state):
+    assert state.outcome().outcome is progress.Outcome.UNKNOWN
 
 
 @given("callers send requests all the time")
-def keep_asking(stage):
-    callers = [stage.wire.add_caller() for _ in range(4)]
-    stage.caller = callers[0]
+def send_requests_continuously(state):
+    callers = [state.wire.add_caller() for _ in range(4)]
+    state.caller = callers[0]
 
     def ask():
-        if stage.wire.now < wires.START + 9_000:
-            stage.ask(caller=stage.wire.rng.choice(callers))
+        if state.wire.now < wires.START + 9_000:
+            state.ask(caller=state.wire.rng.choice(callers))
 
-    stage.wire.schedule_every(60, ask)
-    stage.wire.run(1_000)
+    state.wire.schedule_every(60, ask)
+    state.wire.run(1_000)
 
 
-@when("an upstream is marked as leaving and some balancers do not hear of it")
-def mark(stage):
-    stage.leaver = stage.home()
-    stage.leaver.left_at = stage.wire.now
-    deaf = next(iter(stage.wire.balancers.values()))
-    parts = [*stage.wire.homes.values(), *stage.wire.balancers.values()]
-    stage.publish(leaving={stage.leaver.name}, to=[p for p in parts if p is not deaf])
+@when("an upstream is marked as leaving and one balancer does not receive the change")
+def mark_leaving(state):
+    state.leaving_home = state.home()
+    state.leaving_home.left_at = state.wire.now
+    outdated = next(iter(state.wire.balancers.values()))
+    parts = [*state.wire.homes.values(), *state.wire.balancers.values()]
+    state.publish(leaving={state.leaving_home.name}, to=[p for p in parts if p is not outdated])
 
 
-@then("it gets no new work after three seconds")
-def no_work(stage):
-    stage.wire.run(3_000)
-    before = stage.leaver.runs.total()
-    stage.wire.run(4_000)
-    assert stage.leaver.runs.total() == before
-    assert stage.wire.misplaced_runs == []
+@then("it receives no new requests after three seconds")
+def check_no_new_requests(state):
+    state.wire.run(3_000)
+    before = state.leaving_home.runs.total()
+    state.wire.run(4_000)
+    assert state.leaving_home.runs.total() == before
+    assert state.wire.misplaced_runs == []
 
 
 @then("the callers' requests are answered elsewhere")
-def elsewhere(stage):
-    stage.wire.run(SOON)
-    for caller, request, _ in stage.asked[-20:]:
-        assert stage.outcome(caller, request).outcome is progress.Outcome.ANSWERED
+def check_answered_elsewhere(state):
+    state.wire.run(MAX_WAIT_MS)
+    for caller, request, _ in state.asked[-20:]:
+        assert state.outcome(caller, request).outcome is progress.Outcome.ANSWERED
 
 
-@when("the upstream is told to stop while it runs the defect report")
-def stop(stage):
-    stage.ask("slow/1000")
-    stage.wire.run(300)
-    stage.leaver = stage.home()
-    stage.wire.post(stage.leaver, events.Leave("SIGTERM"))
+@when("the sidecar of the upstream gets SIGTERM while it runs the defect report")
+def stop_upstream(state):
+    state.ask("slow/1000")
+    state.wire.run(300)
+    state.leaving_home = state.home()
+    state.wire.post(state.leaving_home, events.Leave("SIGTERM"))
 
 
 @then("the upstream has handed its flows over")
-def handed_over(stage):
-    stage.wire.run(2_000)
-    assert stage.leaver.core.flows[stage.caller.flow].moved_to is not None
+def check_handed_over(state):
+    state.wire.run(2_000)
+    assert state.leaving_home.core.flows[state.caller.flow].moved_to is not None
 
 
 @given("a configuration is in force on every balancer")
-def configured(stage):
-    stage.older = stage.wire.views[-1]
-    stage.newer = stage.publish()
+def record_configuration(state):
+    state.older = state.wire.views[-1]
+    state.newer = state.publish()
 
 
 @when("the platform answers with an older revision")
-def revert(stage):
-    for part in [*stage.wire.balancers.values(), *stage.wire.homes.values()]:
-        stage.wire.show_view(part, stage.older)
+def answer_older_revision(state):
+    for part in [*state.wire.balancers.values(), *state.wire.homes.values()]:
+        state.wire.show_view(part, state.older)
 
 
 @then("the newer configuration stays in force everywhere")
-def in_force(stage):
-    assert all(b.view is stage.newer for b in stage.wire.balancers.values())
-    assert all(h.core.view is stage.newer for h in stage.wire.homes.values())
+def check_newer_in_force(state):
+    assert all(b.view is state.newer for b in state.wire.balancers.values())
+    assert all(h.core.view is state.newer for h in state.wire.homes.values())
