--- a/src/ebonystile/caller/client.py
+++ b/src/ebonystile/caller/client.py
@@ -138,7 +138,7 @@
         self.end_by = 0
         self.loop = loop.Loop()
         self.udp = self.loop.listen((local, 0), self.on_datagram)
-        self.loop.every(TICK_MS, self.tick)
+        self.loop.call_every(TICK_MS, self.tick)
         self.thread = threading.Thread(target=self.loop.run, name="caller", daemon=True)
         self.thread.start()
 
--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -82,7 +82,7 @@
         due = self.core.next_due()
         if due is not None and (self.timer_at is None or due < self.timer_at):
             self.timer_at = due
-            self.loop.at(due, self.on_timer)
+            self.loop.call_at(due, self.on_timer)
 
     def on_timer(self) -> None:
         """Advance the searches that are due."""
--- a/src/ebonystile/carrier/calls.py
+++ b/src/ebonystile/carrier/calls.py
@@ -62,9 +62,9 @@
         The call fails at `first_byte_by` (ms) if no byte of the answer has arrived by then.
         """
         self.pending = PendingCall(path, deadline, on_answer, on_failure, first_byte_by)
-        self.event_loop.at(deadline, self.check_deadline)
+        self.event_loop.call_at(deadline, self.check_deadline)
         if first_byte_by is not None:
-            self.event_loop.at(first_byte_by, self.check_deadline)
+            self.event_loop.call_at(first_byte_by, self.check_deadline)
         self.send_request()
 
     def send_request(self) -> None:
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -58,7 +58,7 @@
         source = self.sources.choose(self.reader.complete, now)
         call = self.reader.next_call(now, relay=source is not sourcing.STORE)
         if call is None:
-            self.event_loop.at(self.reader.next_at, self.make_next_call)
+            self.event_loop.call_at(self.reader.next_at, self.make_next_call)
             return
         self.switch_to(source)
         self.call = call
@@ -98,7 +98,9 @@
         if version <= max(self.wanted_version, self.route_table.routes.version):
             return
         self.wanted_version = version
-        self.event_loop.at(clock.now() + CATCH_UP_DELAY_MS, lambda: self.read_if_behind(version))
+        self.event_loop.call_at(
+            clock.now() + CATCH_UP_DELAY_MS, lambda: self.read_if_behind(version)
+        )
 
     def read_if_behind(self, version: int) -> None:
         """Read all lists again unless the configuration has arrived meanwhile."""
--- a/src/ebonystile/carrier/journal.py
+++ b/src/ebonystile/carrier/journal.py
@@ -74,7 +74,7 @@
             "event": event,
             **fields,
         }
-        text = " ".join(f"{key}={logline.text_of(value)}" for key, value in pairs.items())
+        text = " ".join(f"{key}={logline.format_value(value)}" for key, value in pairs.items())
         if len(self.buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             self.left_out[event] += 1
--- a/src/ebonystile/carrier/relay.py
+++ b/src/ebonystile/carrier/relay.py
@@ -103,7 +103,7 @@
             self.answer_or_keep(
                 PendingWatch(connection, revision, deadline), self.watch_answer(revision)
             )
-            self.event_loop.at(deadline, lambda: self.expire_watches(clock.now()))
+            self.event_loop.call_at(deadline, lambda: self.expire_watches(clock.now()))
         elif path == store.RANGE_PATH:
             connection.answer(self.list_page(fields.get("prefix", ""), fields.get("after", "")))
         else:
--- a/src/ebonystile/carrier/report.py
+++ b/src/ebonystile/carrier/report.py
@@ -63,7 +63,7 @@
         self.early_durations: collections.deque[Duration] = collections.deque(
             maxlen=MAX_EARLY_DURATIONS
         )
-        event_loop.at(clock.now() + LOAD_AFTER_MS, self.load)
+        event_loop.call_at(clock.now() + LOAD_AFTER_MS, self.load)
 
     def load(self) -> "metrics.Metrics":
         """Return the metrics, created at the first call."""
--- a/src/ebonystile/carrier/shell.py
+++ b/src/ebonystile/carrier/shell.py
@@ -56,8 +56,8 @@
         self.last_tick = clock.now()
         self.last_suspended_ns = read_suspended_ns()
         self.last_settings_stamp = settings_stamp()
-        self.loop.every(TICK_MS, self.tick)
-        loop.on_signals(self.loop, self.leave, self.log_signal)
+        self.loop.call_every(TICK_MS, self.tick)
+        loop.install_signal_handlers(self.loop, self.leave, self.log_signal)
         signal.signal(signal.SIGHUP, lambda *_: self.loop.post(self.reload))
 
     def run(self) -> None:
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -82,7 +82,7 @@
     def on_leave(self) -> None:
         """Accept no new flows, and stop after `LEAVE_MS`."""
         self.core.leaving = True
-        self.loop.at(clock.now() + LEAVE_MS, self.loop.stop)
+        self.loop.call_at(clock.now() + LEAVE_MS, self.loop.stop)
 
     def send_to_upstream(self, raw: bytes) -> None:
         """Send a packet to the upstream."""
--- a/src/ebonystile/codec.py
+++ b/src/ebonystile/codec.py
@@ -14,7 +14,7 @@
 
 from ebonystile import errors
 
-MAX_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 """Largest datagram accepted, in bytes; loopback and IPv4 carry 65,507."""
 
 Check = abc.Callable[[typing.Any], bool]
@@ -23,7 +23,7 @@
 """Integers at or beyond this size are refused, so no message can carry an unbounded number."""
 
 
-def check_for(annotation: typing.Any) -> Check:
+def make_check(annotation: typing.Any) -> Check:
     """Return a predicate that tells whether a decoded value fits the annotation."""
     if annotation is int:
         return lambda v: type(v) is int and -INTEGER_LIMIT < v < 2 * INTEGER_LIMIT
@@ -32,17 +32,17 @@
     origin = typing.get_origin(annotation)
     arguments = typing.get_args(annotation)
     if origin is tuple and len(arguments) == 2 and arguments[1] is Ellipsis:
-        item = check_for(arguments[0])
+        item = make_check(arguments[0])
         return lambda v: type(v) in (list, tuple) and all(item(i) for i in v)
     if origin is tuple:
-        items = [check_for(a) for a in arguments]
+        items = [make_check(a) for a in arguments]
         return lambda v: (
             type(v) in (list, tuple)
             and len(v) == len(items)
             and all(check(i) for check, i in zip(items, v, strict=True))
         )
     if origin in (typing.Union, types.UnionType):
-        choices = [check_for(a) for a in arguments if a is not type(None)]
+        choices = [make_check(a) for a in arguments if a is not type(None)]
         return lambda v: v is None or any(check(v) for check in choices)
     if dataclasses.is_dataclass(annotation):
         return lambda v: isinstance(v, annotation)
@@ -68,7 +68,7 @@
                 raise ValueError(f"kind {message_type.KIND} is taken twice")
             hints = typing.get_type_hints(message_type)
             fields = [f.name for f in dataclasses.fields(message_type)]
-            checks = [(name, check_for(hints[name])) for name in fields]
+            checks = [(name, make_check(hints[name])) for name in fields]
             self.by_kind[message_type.KIND] = (message_type, checks)
             self.names[message_type] = tuple(fields)
 
@@ -82,33 +82,33 @@
 
     def decode(self, data: bytes) -> typing.Any:
         """Return the message in `data`; raise `DatagramError` if it is not exactly one."""
-        if len(data) > MAX_DATAGRAM:
-            raise self.fault(f"{len(data)} bytes are more than {MAX_DATAGRAM}")
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise self.make_error(f"{len(data)} bytes are more than {MAX_DATAGRAM_BYTES}")
         try:
             file = io.BytesIO(data)
             items = cbor2.load(file)
         except Exception as error:
             # The library raises many types for malformed input; each means the same to us.
-            raise self.fault(f"not CBOR: {error}") from error
+            raise self.make_error(f"not CBOR: {error}") from error
         if file.tell() < len(data):
-            raise self.fault("more follows the message")
+            raise self.make_error("more follows the message")
         return self.from_items(items)
 
     def from_items(self, items: typing.Any) -> typing.Any:
         """Return the message whose kind and fields are `items`, every field checked."""
         if type(items) is not list or not items or type(items[0]) is not int:
-            raise self.fault("not a message")
+            raise self.make_error("not a message")
         entry = self.by_kind.get(items[0])
         if entry is None:
-            raise self.fault(f"unknown kind {items[0]}")
+            raise self.make_error(f"unknown kind {items[0]}")
         message_type, checks = entry
         if len(items) != len(checks) + 1:
-            raise self.fault(f"{message_type.__name__} has {len(checks)} fields")
+            raise self.make_error(f"{message_type.__name__} has {len(checks)} fields")
         for (name, check), value in zip(checks, items[1:], strict=True):
             if not check(value):
-                raise self.fault(f"{message_type.__name__}.{name} has a wrong type")
+                raise self.make_error(f"{message_type.__name__}.{name} has a wrong type")
         return message_type(*[freeze(value) for value in items[1:]])
 
-    def fault(self, reason: str) -> errors.DatagramError:
+    def make_error(self, reason: str) -> errors.DatagramError:
         """Return the error for a datagram of this family."""
         return errors.DatagramError(reason, step="decode", peer=self.family)
--- a/src/ebonystile/commands/preview.py
+++ b/src/ebonystile/commands/preview.py
@@ -92,7 +92,7 @@
     try:
         return INSTANCES.validate_python(value)
     except pydantic.ValidationError as error:
-        faults = [f"{validation.path_of(e['loc'])}: {e['msg']}" for e in error.errors()]
+        faults = [f"{validation.format_path(e['loc'])}: {e['msg']}" for e in error.errors()]
         raise errors.SettingsError(faults, step=STEP, peer=file) from error
 
 
--- a/src/ebonystile/daemon/answers.py
+++ b/src/ebonystile/daemon/answers.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class ShellState:
     """What the shell around a core knows: its inbox, suspected processes, refused documents."""
 
     queued: int = 0
@@ -39,18 +39,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Subject:
+class ProcessState:
     """A process as its owner thread shows it to an operator at one moment."""
 
     core: balancer.Balancer | sidecar_state.SidecarState
     identity: Identity
-    surroundings: Surroundings
-    ring: timeline.Ring
+    shell: ShellState
+    ring: timeline.EventRing
     now: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Work:
+class CoreSummary:
     """How much a core holds and does."""
 
     flows: int = 0
@@ -61,15 +61,15 @@
 
 
 @functools.singledispatch
-def answer(question: messages.Question, subject: Subject) -> messages.Answer:
+def answer(question: messages.Question, process: ProcessState) -> messages.Answer:
     """Return the answer to one question."""
     return messages.Refused(question.id, "this process doesn't know the question")
 
 
 @answer.register
-def _(question: messages.StatusRequest, subject: Subject) -> messages.Status:
-    identity = subject.identity
-    work = work_of(subject.core)
+def _(question: messages.StatusRequest, process: ProcessState) -> messages.Status:
+    identity = process.identity
+    work = summarize_core(process.core)
     return messages.Status(
         id=question.id,
         process=identity.name,
@@ -77,29 +77,29 @@
         zone=identity.zone,
         version=ebonystile.__version__,
         incarnation=identity.incarnation,
-        now=subject.now,
+        now=process.now,
         started=identity.started,
-        revision=subject.core.view.revision,
-        instances_revision=subject.core.view.instances_revision,
-        leaving=work.leaving or subject.surroundings.leaving,
+        revision=process.core.view.revision,
+        instances_revision=process.core.view.instances_revision,
+        leaving=work.leaving or process.shell.leaving,
         flows=work.flows,
         running=work.running,
-        queued=work.queued + subject.surroundings.queued,
-        suspected=subject.surroundings.suspected,
+        queued=work.queued + process.shell.queued,
+        suspected=process.shell.suspected,
         services=work.services,
-        refusals=subject.surroundings.refusals,
+        refusals=process.shell.refusals,
     )
 
 
 @answer.register
-def _(question: messages.EventsRequest, subject: Subject) -> messages.Events:
+def _(question: messages.EventsRequest, process: ProcessState) -> messages.Events:
     wanted = timeline.Filter(
         question.flow, question.request, question.upstream, question.event, question.since
     )
     limit = min(question.limit, messages.MAX_EVENTS)
     records = []
     size = 0
-    for record in reversed(subject.ring.select(wanted, limit)):
+    for record in reversed(process.ring.select(wanted, limit)):
         encoded = messages.RECORDS.encode(record)
         size += len(encoded)
         if size > MAX_RECORDS_BYTES:
@@ -109,18 +109,18 @@
 
 
 @answer.register
-def _(question: messages.ExplainRequest, subject: Subject) -> messages.Explanation:
-    service = subject.core.view.services.get(question.service)
+def _(question: messages.ExplainRequest, process: ProcessState) -> messages.Explanation:
+    service = process.core.view.services.get(question.service)
     upstreams = service.upstreams if service else ()
     ranked = ranking.rank(question.flow, (u for u in upstreams if not u.leaving))
-    sends_to, why = route_of(subject.core, question)
-    holds, target = holding_of(subject.core, question)
+    sends_to, why = find_route(process.core, question)
+    holds, target = find_flow_status(process.core, question)
     return messages.Explanation(
         id=question.id,
-        process=subject.identity.name,
-        role=subject.identity.role,
-        incarnation=subject.identity.incarnation,
-        revision=subject.core.view.revision,
+        process=process.identity.name,
+        role=process.identity.role,
+        incarnation=process.identity.incarnation,
+        revision=process.core.view.revision,
         known=service is not None,
         ranking=tuple(u.name for u in ranked),
         leaving=tuple(u.name for u in upstreams if u.leaving),
@@ -132,29 +132,29 @@
 
 
 @answer.register
-def _(question: messages.ProcessesRequest, subject: Subject) -> messages.Processes:
-    seen = subject.core.view
+def _(question: messages.ProcessesRequest, process: ProcessState) -> messages.Processes:
+    seen = process.core.view
     balancers = [(f"{a[0]}:{a[1]}", BALANCER, a) for a in seen.balancers]
     sidecars = [(e.name, SIDECAR, e.address) for e in seen.endpoints.values()]
     return messages.Processes(question.id, (*balancers, *sorted(sidecars)))
 
 
 @functools.singledispatch
-def work_of(core: balancer.Balancer | sidecar_state.SidecarState) -> Work:
+def summarize_core(core: balancer.Balancer | sidecar_state.SidecarState) -> CoreSummary:
     """Return how much the core holds; a balancer holds nothing."""
-    return Work()
+    return CoreSummary()
 
 
-@work_of.register
-def _(core: sidecar_state.SidecarState) -> Work:
+@summarize_core.register
+def _(core: sidecar_state.SidecarState) -> CoreSummary:
     held = sum(not flow.is_fenced for flow in core.flows.values())
     slots = core.slots
-    return Work(
+    return CoreSummary(
         held, len(slots.running), len(slots.queue), core.leaving_reason, tuple(core.served_services)
     )
 
 
-def route_of(
+def find_route(
     core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[str, str]:
     """Return the upstream that the question's token leads to by this view, and the reason."""
@@ -170,14 +170,14 @@
 
 
 @functools.singledispatch
-def holding_of(
+def find_flow_status(
     core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[int, str]:
     """Return whether the process holds the flow, and where it went; a balancer holds none."""
     return messages.ABSENT, ""
 
 
-@holding_of.register
+@find_flow_status.register
 def _(core: sidecar_state.SidecarState, question: messages.ExplainRequest) -> tuple[int, str]:
     flow = core.flows.get(question.flow)
     if flow is None or flow.service != question.service:
--- a/src/ebonystile/daemon/balancer.py
+++ b/src/ebonystile/daemon/balancer.py
@@ -10,7 +10,7 @@
 from ebonystile.daemon import answers, control, guard, inbound, reporting, server, tuning
 from ebonystile.peer import messages, seal
 
-QUIET_MS = 1_000
+LEAVE_IDLE_MS = 1_000
 """A leaving balancer ends once no caller's datagram has come for this long, in ms."""
 
 
@@ -26,74 +26,74 @@
         self.seal = seal.make_seal(config.keys, self.incarnation)
         self.counts: collections.Counter[str] = collections.Counter()
         self.loop = loop.Loop()
-        self.callers = self.loop.listen(config.listen, self.on_caller)
-        self.peers = self.loop.listen(config.address, self.on_peer)
-        self.leave_by = 0
-        self.leaving = ""
-        self.heard_at = clock.now()
+        self.callers = self.loop.listen(config.listen, self.on_caller_datagram)
+        self.peers = self.loop.listen(config.address, self.on_peer_datagram)
+        self.leave_deadline = 0
+        self.leaving_reason = ""
+        self.last_datagram_at = clock.now()
         identity = answers.Identity(
-            config.name, answers.BALANCER, config.zone, self.incarnation, self.heard_at
+            config.name, answers.BALANCER, config.zone, self.incarnation, self.last_datagram_at
         )
-        self.report = reporting.make_reporter(
-            identity, self.core, self.loop, self.counts, config.event_limit, self.surroundings
+        self.reporter = reporting.make_reporter(
+            identity, self.core, self.loop, self.counts, config.event_limit, self.shell_state
         )
-        self.behind = True
-        self.control = control.Control(
+        self.is_view_stale = True
+        self.control_plane = control.Control(
             self.loop,
             config,
             "balancer",
             self.incarnation,
             self.on_view,
-            self.on_behind,
-            self.report.event,
+            self.on_view_stale,
+            self.reporter.event,
         )
         self.server = server.serve(
             config.address,
-            {**self.control.handlers(), **self.report.handlers(config.keys)},
-            self.report.metrics.text,
-            healthy=self.healthy,
+            {**self.control_plane.handlers(), **self.reporter.handlers(config.keys)},
+            self.reporter.metrics.text,
+            healthy=self.is_healthy,
             connection_limit=config.tcp_connection_limit,
         )
-        self.control.start(self.seal, self.peers)
-        self.loop.every(200, self.tick)
-        guard.on_signals(self.loop, self.leave)
+        self.control_plane.start(self.seal, self.peers)
+        self.loop.call_every(200, self.tick)
+        guard.install_signal_handlers(self.loop, self.leave)
 
     def run(self) -> None:
         """Run until the process has left."""
-        self.report.event("process_started", listen=":".join(map(str, self.config.listen)))
+        self.reporter.event("process_started", listen=":".join(map(str, self.config.listen)))
         guard.run(self.loop)
-        self.control.stop()
+        self.control_plane.stop()
         self.server.stop()
         logs.event("process_stopped", **self.counts)
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the balancer has a configuration and is not leaving, for `/healthz`."""
-        return self.core.view.revision > 0 and not self.behind and not self.leave_by
+        return self.core.view.revision > 0 and not self.is_view_stale and not self.leave_deadline
 
-    def on_behind(self) -> None:
+    def on_view_stale(self) -> None:
         """Route nothing by an old view after a pause; callers retry through other balancers."""
-        self.behind = True
+        self.is_view_stale = True
 
-    def surroundings(self) -> answers.Surroundings:
+    def shell_state(self) -> answers.ShellState:
         """Return what operators see of the shell."""
-        return answers.Surroundings(
+        return answers.ShellState(
             queued=len(self.loop.inbox),
-            leaving=self.leaving,
-            suspected=self.control.suspected(),
-            refusals=self.control.refusals(),
+            leaving=self.leaving_reason,
+            suspected=self.control_plane.suspected(),
+            refusals=self.control_plane.refusals(),
         )
 
     def on_view(self, newer: view.View) -> None:
         """Route by a newer view from now on."""
-        self.behind = False
+        self.is_view_stale = False
         before = self.core.view.revision
         if balancer.change_view(self.core, newer) and newer.revision != before:
-            self.report.event("configured", revision=newer.revision)
+            self.reporter.event("configured", revision=newer.revision)
 
-    def on_caller(self, payload: bytes, caller: view.Address) -> None:
+    def on_caller_datagram(self, payload: bytes, caller: view.Address) -> None:
         """Route a caller's datagram."""
-        self.heard_at = self.loop.now
-        if self.behind:
+        self.last_datagram_at = self.loop.now
+        if self.is_view_stale:
             self.counts["dropped_behind"] += 1
             return
         action = balancer.route(self.core, caller, payload, self.loop.now)
@@ -107,28 +107,28 @@
         else:
             self.counts["dropped_" + action.reason] += 1
 
-    def on_peer(self, data: bytes, source: view.Address) -> None:
+    def on_peer_datagram(self, data: bytes, source: view.Address) -> None:
         """Relay a sidecar's answer to its caller."""
-        message = inbound.packet_of(data, source, self.seal, self.control, self.counts)
+        message = inbound.open_packet(data, source, self.seal, self.control_plane, self.counts)
         if type(message) is messages.Return:
             loop.send(self.callers, message.payload, message.caller)
             self.counts["returned"] += 1
 
     def leave(self, reason: str) -> None:
         """Go on relaying until the fabric hands over no more packets, or time is up."""
-        self.report.event("leaving", reason=reason)
-        self.leaving = reason
-        self.heard_at = clock.now()
-        self.leave_by = self.heard_at + self.config.drain_ms
-        self.control.leave()
+        self.reporter.event("leaving", reason=reason)
+        self.leaving_reason = reason
+        self.last_datagram_at = clock.now()
+        self.leave_deadline = self.last_datagram_at + self.config.drain_ms
+        self.control_plane.leave()
 
     def tick(self) -> None:
         """Note how far the loop is behind, and end a leaving balancer whose work is done."""
         now = clock.now()
         self.core.gate.observe(self.loop.lag(self.callers), now)
-        if not self.leave_by:
+        if not self.leave_deadline:
             return
-        if now >= self.leave_by or now - self.heard_at >= QUIET_MS:
+        if now >= self.leave_deadline or now - self.last_datagram_at >= LEAVE_IDLE_MS:
             self.loop.stop()
 
 
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -28,10 +28,10 @@
 """Major type of a CBOR array (RFC 8949): the first byte of the packet path is never one."""
 
 TICK_MS = 100
-SERVE_S = 2
+PULL_TIMEOUT_S = 2
 """Longest time that a peer's pull waits for the owner thread, in seconds."""
 
-LEVELS = {
+EVENT_LEVELS = {
     "document_refused": "ERROR",
     "superseded": "ERROR",
     "catch_up_waiting": "WARNING",
@@ -42,7 +42,7 @@
 PLATFORM_THREADS = 3
 FETCH_THREADS = 2
 
-Notice = abc.Callable[..., None]
+EventCallback = abc.Callable[..., None]
 
 
 class Control:
@@ -55,13 +55,13 @@
         role: str,
         incarnation: int,
         on_view: abc.Callable[[view.View], None],
-        on_behind: abc.Callable[[], None],
-        notice: Notice = logs.event,
+        on_view_stale: abc.Callable[[], None],
+        report_event: EventCallback = logs.event,
     ):
         self.owner = owner
         self.on_view = on_view
-        self.on_behind = on_behind
-        self.notice = notice
+        self.on_view_stale = on_view_stale
+        self.report_event = report_event
         self.bulk_seal = seal.make_seal(config.keys, incarnation)
         self.core = gossip.make_state(
             config.name,
@@ -74,8 +74,8 @@
             clock.now(),
         )
         self.platform = client.make_platform(config.platform, clock.now)
-        self.calls = concurrent.futures.ThreadPoolExecutor(PLATFORM_THREADS, "platform")
-        self.fetches = concurrent.futures.ThreadPoolExecutor(FETCH_THREADS, "fetch")
+        self.platform_calls = concurrent.futures.ThreadPoolExecutor(PLATFORM_THREADS, "platform")
+        self.pull_calls = concurrent.futures.ThreadPoolExecutor(FETCH_THREADS, "fetch")
         self.seal: seal.Seal
         self.socket: socket.socket
 
@@ -83,31 +83,31 @@
         """Begin to catch up; messages go out by the socket towards the other processes."""
         self.seal = own_seal
         self.socket = peers
-        self.owner.every(TICK_MS, functools.partial(self.take, gossip.Tick()))
-        self.take(gossip.Tick())
+        self.owner.call_every(TICK_MS, functools.partial(self.handle_event, gossip.Tick()))
+        self.handle_event(gossip.Tick())
 
     def stop(self) -> None:
         """End the executors; what waits for an answer is not waited for."""
-        self.calls.shutdown(wait=False, cancel_futures=True)
-        self.fetches.shutdown(wait=False, cancel_futures=True)
+        self.platform_calls.shutdown(wait=False, cancel_futures=True)
+        self.pull_calls.shutdown(wait=False, cancel_futures=True)
         self.platform.close()
 
     def handlers(self) -> dict[str, abc.Callable[[bytes], bytes]]:
         """Return what the TCP server needs to answer pulls."""
         return {PATH: self.on_pull}
 
-    def post(self, event: typing.Any) -> None:
+    def post_event(self, event: typing.Any) -> None:
         """Let the owner thread give the core an event; for executors' threads."""
-        self.owner.post(functools.partial(self.take, event))
+        self.owner.post(functools.partial(self.handle_event, event))
 
-    def take(self, event: typing.Any) -> None:
+    def handle_event(self, event: typing.Any) -> None:
         """Give the core an event and carry out what it decides."""
         for effect in gossip.decide(self.core, event, clock.now()):
-            carry_out(effect, self)
+            execute(effect, self)
 
     def leave(self) -> None:
         """Tell the other processes that this one is leaving."""
-        self.take(gossip.Leave())
+        self.handle_event(gossip.Leave())
 
     def on_opened(self, opened: seal.Opened, source: view.Address) -> bool:
         """Take a sealed datagram if it is a control message; return whether it was.
@@ -115,10 +115,10 @@
         Every datagram shows its sender's revision: a higher one than ours leads to a pull.
         """
         if opened.revision > self.core.configuration.digest.values:
-            self.take(gossip.RevisionSeen(source, opened.revision))
+            self.handle_event(gossip.RevisionSeen(source, opened.revision))
         if not opened.content or opened.content[0] >> 5 != CBOR_ARRAY:
             return False
-        self.take(gossip.Arrived(source, control.CONTROL.decode(opened.content)))
+        self.handle_event(gossip.Arrived(source, control.CONTROL.decode(opened.content)))
         return True
 
     def suspected(self) -> tuple[str, ...]:
@@ -141,15 +141,15 @@
         if not isinstance(pull, control.Pull):
             raise errors.DatagramError("not a pull", step="answer pull", peer="peer")
         future: concurrent.futures.Future = concurrent.futures.Future()
-        self.owner.post(functools.partial(self.prepare, pull, future))
+        self.owner.post(functools.partial(self.prepare_answer, pull, future))
         try:
-            prepared = future.result(SERVE_S)
+            prepared = future.result(PULL_TIMEOUT_S)
         except TimeoutError as error:
             raise errors.PeerError("the core is busy", step="answer pull", peer="core") from error
         reply = prepared if isinstance(prepared, control.Busy) else pulling.pack_answer(prepared)
         return self.bulk_seal.seal(control.CONTROL.to_items(reply))
 
-    def prepare(self, pull: control.Pull, future: concurrent.futures.Future) -> None:
+    def prepare_answer(self, pull: control.Pull, future: concurrent.futures.Future) -> None:
         """Have the core put an answer together, in the owner thread."""
         try:
             future.set_result(pulling.prepare_answer(self.core, pull, clock.now()))
@@ -169,19 +169,19 @@
         delta = configuration.instances_delta(effect.after, listed.revision, instances)
         return gossip.PlatformRead(effect.stream, delta, listed.more)
 
-    def on_called(self, stream: str, future: concurrent.futures.Future) -> None:
+    def on_platform_done(self, stream: str, future: concurrent.futures.Future) -> None:
         """Tell the core what the platform answered."""
         if future.cancelled():
             return
         error = future.exception()
         if error is None:
-            self.post(future.result())
+            self.post_event(future.result())
             return
         if not isinstance(error, errors.EbonystileError):
             logs.failure("platform_call_failed", error)
         else:
-            self.notice("platform_failed", level="WARNING", stream=stream, error=str(error))
-        self.post(gossip.PlatformFailed(stream))
+            self.report_event("platform_failed", level="WARNING", stream=stream, error=str(error))
+        self.post_event(gossip.PlatformFailed(stream))
 
     def fetch(self, effect: gossip_state.Fetch) -> gossip.Fetched:
         """Send a pull over a websocket and unpack its answer; runs in an executor."""
@@ -195,19 +195,19 @@
             return gossip.Fetched(reply)
         raise errors.DatagramError("not an answer to a pull", step="pull", peer="peer")
 
-    def on_fetched(self, nonce: int, future: concurrent.futures.Future) -> None:
+    def on_fetch_done(self, nonce: int, future: concurrent.futures.Future) -> None:
         """Tell the core what a pull brought."""
         if future.cancelled():
             return
         error = future.exception()
         if error is None:
-            self.post(future.result())
+            self.post_event(future.result())
             return
         if not isinstance(error, errors.EbonystileError):
             logs.failure("pull_failed", error)
         else:
-            self.notice("pull_failed", level="DEBUG", error=str(error))
-        self.post(gossip.FetchFailed(nonce))
+            self.report_event("pull_failed", level="DEBUG", error=str(error))
+        self.post_event(gossip.FetchFailed(nonce))
 
 
 def instance_of(entry: client.Instance) -> tuple[assembly.Instance, bool]:
@@ -228,42 +228,42 @@
 
 
 @functools.singledispatch
-def carry_out(effect: typing.Any, shell: Control) -> None:
+def execute(effect: typing.Any, shell: Control) -> None:
     """Do what the core asks for."""
     raise TypeError(f"no way to carry out {type(effect).__name__}")
 
 
-@carry_out.register
+@execute.register
 def _(effect: gossip_state.SendMessage, shell):
     body = control.CONTROL.to_items(effect.message)
     loop.send(shell.socket, shell.seal.seal(body), effect.address)
 
 
-@carry_out.register
+@execute.register
 def _(effect: gossip_state.WatchPlatform, shell):
-    future = shell.calls.submit(shell.call_platform, effect)
-    future.add_done_callback(functools.partial(shell.on_called, effect.stream))
+    future = shell.platform_calls.submit(shell.call_platform, effect)
+    future.add_done_callback(functools.partial(shell.on_platform_done, effect.stream))
 
 
-@carry_out.register
+@execute.register
 def _(effect: gossip_state.Fetch, shell):
-    future = shell.fetches.submit(shell.fetch, effect)
-    future.add_done_callback(functools.partial(shell.on_fetched, effect.pull.nonce))
+    future = shell.pull_calls.submit(shell.fetch, effect)
+    future.add_done_callback(functools.partial(shell.on_fetch_done, effect.pull.nonce))
 
 
-@carry_out.register
+@execute.register
 def _(effect: gossip_state.ViewInForce, shell):
     newest = shell.core.configuration.view
     shell.seal.revision = newest.revision
     shell.on_view(newest)
 
 
-@carry_out.register
+@execute.register
 def _(effect: gossip_state.ViewStale, shell):
-    shell.on_behind()
+    shell.on_view_stale()
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.Trace, shell):
-    level = LEVELS.get(effect.event, "INFO")
-    shell.notice(effect.event, level=level, **dict(effect.fields))
+    level = EVENT_LEVELS.get(effect.event, "INFO")
+    shell.report_event(effect.event, level=level, **dict(effect.fields))
--- a/src/ebonystile/daemon/guard.py
+++ b/src/ebonystile/daemon/guard.py
@@ -28,6 +28,6 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-def on_signals(owner: loop.Loop, leave: abc.Callable[[str], None]) -> None:
+def install_signal_handlers(owner: loop.Loop, leave: abc.Callable[[str], None]) -> None:
     """Leave gracefully at the first SIGTERM or SIGINT; note later ones, which change nothing."""
-    loop.on_signals(owner, leave, lambda name: logs.event("signal_again", signal=name))
+    loop.install_signal_handlers(owner, leave, lambda name: logs.event("signal_again", signal=name))
--- a/src/ebonystile/daemon/inbound.py
+++ b/src/ebonystile/daemon/inbound.py
@@ -8,7 +8,7 @@
 from ebonystile.peer import messages, seal
 
 
-def packet_of(
+def open_packet(
     data: bytes,
     source: view.Address,
     opener: seal.Seal,
--- a/src/ebonystile/daemon/operator.py
+++ b/src/ebonystile/daemon/operator.py
@@ -8,7 +8,7 @@
 from ebonystile.operator import messages
 from ebonystile.peer import seal
 
-ANSWER_S = 5
+ANSWER_TIMEOUT_S = 5
 """Longest time that a question waits for the owner thread."""
 
 Ask = abc.Callable[[messages.Question], "futures.Future[messages.Answer]"]
@@ -34,7 +34,7 @@
         if not isinstance(question, messages.Question):
             raise errors.DatagramError("not a question", step="answer operator", peer="operator")
         try:
-            answer = self.ask(question).result(ANSWER_S)
+            answer = self.ask(question).result(ANSWER_TIMEOUT_S)
         except (futures.TimeoutError, futures.CancelledError) as error:
             reason = "the process is too busy"
             raise errors.PeerError(reason, step="answer operator", peer="operator") from error
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -12,15 +12,15 @@
 from ebonystile.daemon import answers, operator
 from ebonystile.operator import messages
 
-LAG_MS = 250
+LAG_INTERVAL_MS = 250
 """How often the owner thread's lag is measured, in ms."""
 
 TRANSFER_FIELD = "transfer"
 TRANSFER_STEPS = {"fenced": 0, "adopted": 1, "handed_over": 2}
 """The events of one handover in the order of cause and effect, over two processes."""
 
-FLOODABLE = frozenset({"dropped", "unknown_flow"})
-FLOOD_LIMIT = 10
+RATE_LIMITED_EVENTS = frozenset({"dropped", "unknown_flow"})
+MAX_EVENTS_PER_S = 10
 """Events that anybody can cause by sending rubbish, and how many of each are kept in a second.
 
 All are counted; but a flood of them would push everything else out of the time line, at the very
@@ -29,7 +29,7 @@
 
 SECOND_MS = 1_000
 
-DETAIL = "DEBUG"
+DETAIL_LEVEL = "DEBUG"
 """Level of what happens to single flows and requests; the time line has it at any level."""
 
 
@@ -46,25 +46,25 @@
         owner: loop.Loop,
         counts: collections.Counter[str],
         event_limit: int,
-        surroundings: abc.Callable[[], answers.Surroundings],
+        shell_state: abc.Callable[[], answers.ShellState],
     ):
         self.identity = identity
         self.core = core
         self.owner = owner
         self.counts = counts
-        self.surroundings = surroundings
+        self.shell_state = shell_state
         self.ring = timeline.make_ring(
             identity.name, identity.role, identity.incarnation, event_limit
         )
         self.metrics = metrics.make_metrics()
         self.metrics.tally("events", "Events by their names.", counts, "event")
         self.lag = self.metrics.latency("loop_lag_seconds", "Lag of the thread that decides.")
-        self.lag_due = clock.now() + LAG_MS
+        self.lag_due = clock.now() + LAG_INTERVAL_MS
         self.lock = threading.Lock()
-        self.flood_until = 0
-        self.flood: collections.Counter[str] = collections.Counter()
+        self.rate_window_end = 0
+        self.rate_window_counts: collections.Counter[str] = collections.Counter()
         add_gauges(core, self.metrics)
-        owner.every(LAG_MS, self.measure_lag)
+        owner.call_every(LAG_INTERVAL_MS, self.measure_lag)
 
     def event(
         self,
@@ -79,7 +79,7 @@
         """Count an event, log it and put it into the time line."""
         with self.lock:
             self.counts[name] += 1
-            flooded = name in FLOODABLE and self.flooded(name)
+            flooded = name in RATE_LIMITED_EVENTS and self.is_rate_limited(name)
         ids = {key: value for key, value in (("flow", flow), ("request", request)) if value}
         logs.event(name, level=level, **ids, **fields)
         if flooded:
@@ -93,17 +93,17 @@
             upstream=upstream_of(self.identity),
             link=link,
             step=TRANSFER_STEPS.get(name, 0) if link else 0,
-            fields=tuple((key, logline.text_of(value)) for key, value in fields.items()),
+            fields=tuple((key, logline.format_value(value)) for key, value in fields.items()),
         )
 
-    def flooded(self, name: str) -> bool:
+    def is_rate_limited(self, name: str) -> bool:
         """Count a floodable event; tell whether this second has had enough of them."""
         now = clock.now()
-        if now >= self.flood_until:
-            self.flood_until = now + SECOND_MS
-            self.flood.clear()
-        self.flood[name] += 1
-        return self.flood[name] > FLOOD_LIMIT
+        if now >= self.rate_window_end:
+            self.rate_window_end = now + SECOND_MS
+            self.rate_window_counts.clear()
+        self.rate_window_counts[name] += 1
+        return self.rate_window_counts[name] > MAX_EVENTS_PER_S
 
     def handlers(self, keys: abc.Iterable[typing.Any]) -> dict[str, operator.Handler]:
         """Return what the TCP server needs to answer operators."""
@@ -121,22 +121,22 @@
         if not future.set_running_or_notify_cancel():
             return
         try:
-            future.set_result(answers.answer(question, self.subject()))
+            future.set_result(answers.answer(question, self.process_state()))
         except Exception as error:
             # The asking thread reports it; the owner thread must go on routing packets.
             future.set_exception(error)
 
-    def subject(self) -> answers.Subject:
+    def process_state(self) -> answers.ProcessState:
         """Return the process as it is at this moment."""
-        return answers.Subject(
-            self.core, self.identity, self.surroundings(), self.ring, clock.now()
+        return answers.ProcessState(
+            self.core, self.identity, self.shell_state(), self.ring, clock.now()
         )
 
     def measure_lag(self) -> None:
         """Record by how much the owner thread is behind its timer."""
         now = clock.now()
         self.lag.record(now, now - self.lag_due)
-        self.lag_due = now + LAG_MS
+        self.lag_due = now + LAG_INTERVAL_MS
 
 
 @functools.singledispatch
@@ -178,7 +178,7 @@
     owner: loop.Loop,
     counts: collections.Counter[str],
     event_limit: int,
-    surroundings: abc.Callable[[], answers.Surroundings] = answers.Surroundings,
+    shell_state: abc.Callable[[], answers.ShellState] = answers.ShellState,
 ) -> Reporter:
-    """Return the reporter of one process; `surroundings` is read whenever operators ask."""
-    return Reporter(identity, core, owner, counts, event_limit, surroundings)
+    """Return the reporter of one process; `shell_state` is read whenever operators ask."""
+    return Reporter(identity, core, owner, counts, event_limit, shell_state)
--- a/src/ebonystile/daemon/server.py
+++ b/src/ebonystile/daemon/server.py
@@ -24,12 +24,12 @@
 MAX_MESSAGE_BYTES = bulk.MAX_MESSAGE_BYTES
 """Largest message taken; the platform's values are at most half of it."""
 
-HANDSHAKE_S = 3
-IDLE_S = 30
-CLOSE_S = 2
+HANDSHAKE_TIMEOUT_S = 3
+IDLE_TIMEOUT_S = 30
+CLOSE_TIMEOUT_S = 2
 """Seconds that a peer may take to shake hands, to ask the next question and to say goodbye."""
 
-ROOM_S = 1
+EVICTION_TIMEOUT_S = 1
 """Seconds that ending a silent connection may take to free its place."""
 
 ACCEPT_POLL_S = 0.2
@@ -37,7 +37,7 @@
 BACKLOG = 128
 METRICS_PATH = "/metrics"
 HEALTH_PATH = "/healthz"
-METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 Handler = abc.Callable[[bytes], bytes]
 
@@ -77,10 +77,10 @@
     ):
         self.handlers = dict(handlers)
         self.metrics_text = metrics_text
-        self.healthy = healthy
-        self.free = threading.BoundedSemaphore(connection_limit)
+        self.is_healthy = healthy
+        self.free_connections = threading.BoundedSemaphore(connection_limit)
         self.lock = threading.Lock()
-        self.silent: dict[socket.socket, None] = {}
+        self.silent_connections: dict[socket.socket, None] = {}
         self.counts: collections.Counter[str] = collections.Counter()
 
     def start(self, address: view.Address) -> None:
@@ -88,11 +88,11 @@
         listener = make_listener(address)
         self.address: view.Address = listener.getsockname()
         self.server = websockets_server.serve(
-            self.converse,
+            self.serve_websocket,
             sock=listener,
-            process_request=self.respond,
-            open_timeout=HANDSHAKE_S,
-            close_timeout=CLOSE_S,
+            process_request=self.handle_http,
+            open_timeout=HANDSHAKE_TIMEOUT_S,
+            close_timeout=CLOSE_TIMEOUT_S,
             ping_interval=None,
             max_size=MAX_MESSAGE_BYTES,
             max_queue=2,
@@ -105,9 +105,9 @@
     def stop(self) -> None:
         """Close every connection and wait for the threads; may be called twice."""
         with self.lock:
-            silent = list(self.silent)
+            silent = list(self.silent_connections)
         for connection in silent:
-            end(connection)
+            shut_down(connection)
         self.server.shutdown()
         self.thread.join()
 
@@ -118,21 +118,21 @@
 
     def admit(self, connection: socket.socket, peer: view.Address) -> None:
         """Serve an accepted connection if there is room, or can be made."""
-        if not self.free.acquire(blocking=False) and not self.make_room():
+        if not self.free_connections.acquire(blocking=False) and not self.evict_silent():
             self.count("connections_refused")
             connection.close()
             with self.server.lock:
                 self.server.handler_threads.discard(threading.current_thread())
             return
         with self.lock:
-            self.silent[connection] = None
+            self.silent_connections[connection] = None
         try:
             self.serve_connection(connection, peer)
         finally:
-            self.heard(connection)
-            self.free.release()
+            self.mark_active(connection)
+            self.free_connections.release()
 
-    def make_room(self) -> bool:
+    def evict_silent(self) -> bool:
         """End the longest silent connection; return whether its place was got.
 
         Somebody who opens connections and says nothing could otherwise keep handovers out for as
@@ -140,29 +140,29 @@
         nonsense is cut off, so only the silent ones give way.
         """
         with self.lock:
-            longest = next(iter(self.silent), None)
+            longest = next(iter(self.silent_connections), None)
             if longest is None:
                 return False
-            del self.silent[longest]
+            del self.silent_connections[longest]
         self.count("silent_ended")
-        end(longest)
-        return self.free.acquire(timeout=ROOM_S)
+        shut_down(longest)
+        return self.free_connections.acquire(timeout=EVICTION_TIMEOUT_S)
 
-    def heard(self, connection: socket.socket) -> None:
+    def mark_active(self, connection: socket.socket) -> None:
         """Note that a connection has spoken, or ended."""
         with self.lock:
-            self.silent.pop(connection, None)
+            self.silent_connections.pop(connection, None)
 
-    def respond(self, connection: websockets_server.ServerConnection, request) -> typing.Any:
+    def handle_http(self, connection: websockets_server.ServerConnection, request) -> typing.Any:
         """Answer plain HTTP; return None for a websocket, which `converse` then serves."""
         path = request.path.partition("?")[0]
         if path == METRICS_PATH:
             response = connection.respond(http.HTTPStatus.OK, self.metrics_text().decode())
             del response.headers["Content-Type"]
-            response.headers["Content-Type"] = METRICS_TYPE
+            response.headers["Content-Type"] = METRICS_CONTENT_TYPE
             return response
         if path == HEALTH_PATH:
-            if self.healthy():
+            if self.is_healthy():
                 return connection.respond(http.HTTPStatus.OK, "ok\n")
             return connection.respond(http.HTTPStatus.SERVICE_UNAVAILABLE, "leaving\n")
         if path not in self.handlers:
@@ -170,13 +170,13 @@
             return connection.respond(http.HTTPStatus.NOT_FOUND, "no such path\n")
         return None
 
-    def converse(self, connection: websockets_server.ServerConnection) -> None:
+    def serve_websocket(self, connection: websockets_server.ServerConnection) -> None:
         """Answer one message after the other until the peer leaves, idles or sends nonsense."""
         handler = self.handlers[connection.request.path.partition("?")[0]]
         try:
             while True:
-                question = connection.recv(timeout=IDLE_S)
-                self.heard(connection.socket)
+                question = connection.recv(timeout=IDLE_TIMEOUT_S)
+                self.mark_active(connection.socket)
                 answer = self.answer(handler, question)
                 if answer is None:
                     connection.close(frames.CloseCode.POLICY_VIOLATION, "not understood")
@@ -209,7 +209,7 @@
         return answer
 
 
-def end(connection: socket.socket) -> None:
+def shut_down(connection: socket.socket) -> None:
     """Shut a connection down; the thread that reads from it notices and closes it."""
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -16,9 +16,9 @@
 from ebonystile.upstream import client
 
 TRANSFER_PATH = "/transfer"
-TRANSFER_WAIT_MS = 2_000
-FEED_WAIT_MS = 1_000
-FEED_EVENTS = 256
+TRANSFER_TIMEOUT_MS = 2_000
+FEED_POLL_MS = 1_000
+MAX_FEED_EVENTS = 256
 FEED_THREADS = 64
 """Long polls of different feeds under way at once; each holds a thread while it waits."""
 
@@ -48,25 +48,25 @@
         self.bulk_seal = seal.make_seal(config.keys, self.incarnation)
         self.counts: collections.Counter[str] = collections.Counter()
         self.upstream = client.make_upstream(config.upstream, config.slots, clock.now)
-        self.runs = concurrent.futures.ThreadPoolExecutor(config.slots, "run")
-        self.polls = concurrent.futures.ThreadPoolExecutor(FEED_THREADS, "feed")
-        self.bulk = concurrent.futures.ThreadPoolExecutor(BULK_THREADS, "bulk")
-        self.control = concurrent.futures.ThreadPoolExecutor(2, "control")
-        self.handles = itertools.count(1)
-        self.replies: dict[int, concurrent.futures.Future] = {}
-        self.leave_by = 0
+        self.run_calls = concurrent.futures.ThreadPoolExecutor(config.slots, "run")
+        self.feed_calls = concurrent.futures.ThreadPoolExecutor(FEED_THREADS, "feed")
+        self.bulk_calls = concurrent.futures.ThreadPoolExecutor(BULK_THREADS, "bulk")
+        self.control_calls = concurrent.futures.ThreadPoolExecutor(2, "control")
+        self.transfer_handles = itertools.count(1)
+        self.pending_replies: dict[int, concurrent.futures.Future] = {}
+        self.leave_deadline = 0
         self.drained_at = 0
-        self.asking_health = False
-        self.asking_load = False
+        self.health_pending = False
+        self.load_pending = False
         self.loop = loop.Loop()
-        self.peers = self.loop.listen(config.address, self.on_peer)
+        self.peers = self.loop.listen(config.address, self.on_peer_datagram)
         identity = answers.Identity(
             config.name, answers.SIDECAR, config.zone, self.incarnation, now
         )
-        self.report = reporting.make_reporter(
-            identity, self.core, self.loop, self.counts, config.event_limit, self.surroundings
+        self.reporter = reporting.make_reporter(
+            identity, self.core, self.loop, self.counts, config.event_limit, self.shell_state
         )
-        self.run_time = self.report.metrics.latency(
+        self.run_time = self.reporter.metrics.latency(
             "run_seconds", "Time from handing a request to the upstream to its answer."
         )
         self.control_plane = control.Control(
@@ -75,63 +75,63 @@
             "upstream",
             self.incarnation,
             self.on_view,
-            self.on_behind,
-            self.report.event,
+            self.on_view_stale,
+            self.reporter.event,
         )
         self.server = server.serve(
             config.address,
             {
                 TRANSFER_PATH: self.on_transfer,
                 **self.control_plane.handlers(),
-                **self.report.handlers(config.keys),
+                **self.reporter.handlers(config.keys),
             },
-            self.report.metrics.text,
-            healthy=self.healthy,
+            self.reporter.metrics.text,
+            healthy=self.is_healthy,
             connection_limit=config.tcp_connection_limit,
         )
         self.control_plane.start(self.seal, self.peers)
-        self.loop.every(events.TICK_MS, self.tick)
-        self.loop.every(config.health_poll_ms, self.ask_health)
-        self.loop.every(config.load_poll_ms, self.ask_load)
-        guard.on_signals(self.loop, self.leave)
+        self.loop.call_every(events.TICK_MS, self.tick)
+        self.loop.call_every(config.health_poll_ms, self.fetch_health)
+        self.loop.call_every(config.load_poll_ms, self.fetch_load)
+        guard.install_signal_handlers(self.loop, self.leave)
 
     def run(self) -> None:
         """Run until the process has left."""
-        self.report.event("process_started", address=":".join(map(str, self.config.address)))
+        self.reporter.event("process_started", address=":".join(map(str, self.config.address)))
         guard.run(self.loop)
         self.control_plane.stop()
         self.server.stop()
-        for pool in (self.runs, self.polls, self.bulk, self.control):
+        for pool in (self.run_calls, self.feed_calls, self.bulk_calls, self.control_calls):
             pool.shutdown(wait=False, cancel_futures=True)
         self.upstream.close()
         logs.event("process_stopped", **self.counts)
 
     # What happens
 
-    def post(self, event: typing.Any) -> None:
+    def post_event(self, event: typing.Any) -> None:
         """Let the owner thread give the core an event; for executors' threads."""
-        self.loop.post(functools.partial(self.take, event))
+        self.loop.post(functools.partial(self.handle_event, event))
 
-    def take(self, event: typing.Any) -> None:
+    def handle_event(self, event: typing.Any) -> None:
         """Give the core an event and carry out what it decides."""
         for effect in sidecar.decide(self.core, event, clock.now()):
-            carry_out(effect, self)
+            execute(effect, self)
 
-    def on_peer(self, data: bytes, source: view.Address) -> None:
+    def on_peer_datagram(self, data: bytes, source: view.Address) -> None:
         """Take a datagram from a balancer or another sidecar."""
-        message = inbound.packet_of(data, source, self.seal, self.control_plane, self.counts)
+        message = inbound.open_packet(data, source, self.seal, self.control_plane, self.counts)
         if type(message) is messages.Forward:
-            self.take(events.Arrived(message))
+            self.handle_event(events.Arrived(message))
         elif type(message) is messages.LoadReport:
-            self.take(events.LoadReported(message))
+            self.handle_event(events.LoadReported(message))
 
     def on_view(self, newer: view.View) -> None:
         """Act by a newer view, or learn that the present one is still in force."""
-        self.take(events.ViewChanged(newer))
+        self.handle_event(events.ViewChanged(newer))
 
-    def on_behind(self) -> None:
+    def on_view_stale(self) -> None:
         """Log that the view may be old; the core noticed the pause itself and holds new work."""
-        self.report.event("behind")
+        self.reporter.event("behind")
 
     def on_transfer(self, question: bytes) -> bytes:
         """Answer a sidecar that hands a flow over; runs in a thread of the server."""
@@ -140,87 +140,87 @@
         if not isinstance(message, transfer.Transfer):
             raise errors.DatagramError("not a transfer", step="take transfer", peer="sidecar")
         reply: concurrent.futures.Future = concurrent.futures.Future()
-        handle = next(self.handles)
-        self.replies[handle] = reply
-        self.post(events.TransferArrived(handle, message))
+        handle = next(self.transfer_handles)
+        self.pending_replies[handle] = reply
+        self.post_event(events.TransferArrived(handle, message))
         try:
-            return self.sealed_transfer(reply.result(TRANSFER_WAIT_MS / 1000))
+            return self.seal_transfer(reply.result(TRANSFER_TIMEOUT_MS / 1000))
         except TimeoutError as error:
             raise errors.PeerError("the core is busy", step="take transfer", peer="core") from error
         finally:
-            self.replies.pop(handle, None)
+            self.pending_replies.pop(handle, None)
 
-    def sealed_transfer(self, message: transfer.Transfer | transfer.TransferReply) -> bytes:
+    def seal_transfer(self, message: transfer.Transfer | transfer.TransferReply) -> bytes:
         """Return a transfer or its reply as it travels."""
         return self.bulk_seal.seal(transfer.TRANSFERS.to_items(message))
 
-    def surroundings(self) -> answers.Surroundings:
+    def shell_state(self) -> answers.ShellState:
         """Return what operators see of the shell."""
         suspected = {*siblings.suspected(self.core, clock.now()), *self.control_plane.suspected()}
-        return answers.Surroundings(
+        return answers.ShellState(
             suspected=tuple(sorted(suspected)), refusals=self.control_plane.refusals()
         )
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the process has a configuration and takes new work, for `/healthz`."""
         return self.core.view.revision > 0 and not self.core.leaving_reason
 
     def tick(self) -> None:
         """Let the core look at the time, and end a process that has left."""
-        self.take(events.Tick())
-        if not self.leave_by:
+        self.handle_event(events.Tick())
+        if not self.leave_deadline:
             return
         now = clock.now()
         if not sidecar.is_drained(self.core):
             self.drained_at = 0
         elif not self.drained_at:
             self.drained_at = now
-        if now >= self.leave_by or (self.drained_at and now - self.drained_at >= LINGER_MS):
+        if now >= self.leave_deadline or (self.drained_at and now - self.drained_at >= LINGER_MS):
             self.loop.stop()
 
     def leave(self, reason: str) -> None:
         """Finish what runs, hand over what stays, then end."""
-        self.report.event("stop_asked", reason=reason)
-        self.leave_by = clock.now() + self.config.drain_ms
+        self.reporter.event("stop_asked", reason=reason)
+        self.leave_deadline = clock.now() + self.config.drain_ms
         self.control_plane.leave()
-        self.take(events.Leave(reason))
+        self.handle_event(events.Leave(reason))
 
-    def ask_health(self) -> None:
+    def fetch_health(self) -> None:
         """Read whether the upstream is well, cold, or drains by itself."""
-        if not self.asking_health:
-            self.asking_health = True
-            self.control.submit(self.upstream.health).add_done_callback(self.on_health)
+        if not self.health_pending:
+            self.health_pending = True
+            self.control_calls.submit(self.upstream.health).add_done_callback(self.on_health)
 
     def on_health(self, future: concurrent.futures.Future) -> None:
         """Tell the core the upstream's health; leave when it says that it drains."""
-        self.asking_health = False
+        self.health_pending = False
         if future.cancelled() or future.exception() is not None:
             self.counts["health_failed"] += 1
-            self.post(events.UpstreamHealth(False))
+            self.post_event(events.UpstreamHealth(False))
             return
         health = future.result()
-        self.post(events.UpstreamHealth(health.ok, health.cold))
+        self.post_event(events.UpstreamHealth(health.ok, health.cold))
         if health.draining and not self.core.leaving_reason:
-            self.post(events.Leave("the upstream drains"))
+            self.post_event(events.Leave("the upstream drains"))
 
-    def ask_load(self) -> None:
+    def fetch_load(self) -> None:
         """Read what load the upstream claims to have; its silence changes nothing."""
-        if not self.asking_load:
-            self.asking_load = True
-            self.control.submit(self.upstream.load).add_done_callback(self.on_load)
+        if not self.load_pending:
+            self.load_pending = True
+            self.control_calls.submit(self.upstream.load).add_done_callback(self.on_load)
 
     def on_load(self, future: concurrent.futures.Future) -> None:
         """Give the core the upstream's claim."""
-        self.asking_load = False
+        self.load_pending = False
         if future.cancelled() or future.exception() is not None:
             self.counts["load_failed"] += 1
         else:
             claim = future.result()
-            self.post(events.UpstreamLoad(claim.running + claim.queued))
+            self.post_event(events.UpstreamLoad(claim.running + claim.queued))
 
     # What is to be done
 
-    def hand_over_request(self, job: client.Job) -> client.Reply:
+    def run_request(self, job: client.Job) -> client.Reply:
         """Run a request at the upstream; see `effects.RunRequest` for the check of the deadline."""
         if clock.now() >= job.deadline:
             raise errors.UpstreamError(
@@ -242,13 +242,13 @@
         error = future.exception()
         if error is None:
             reply = future.result()
-            self.post(events.Finished(key, reply.status, reply.body))
+            self.post_event(events.Finished(key, reply.status, reply.body))
         elif isinstance(error, errors.UpstreamError):
             retry_at = error.retry_at or 0
-            self.post(events.Failed(key, error.reason, error.may_have_run, retry_at))
+            self.post_event(events.Failed(key, error.reason, error.may_have_run, retry_at))
         else:
             logs.failure("run_failed", error)
-            self.post(events.Failed(key, EXECUTOR_FAILED, True))
+            self.post_event(events.Failed(key, EXECUTOR_FAILED, True))
 
     def on_poll_done(self, effect: effects.PollFeed, future: concurrent.futures.Future) -> None:
         """Give the core the events of a feed."""
@@ -257,21 +257,21 @@
         error = future.exception()
         if error is None:
             batch = tuple((e.position, e.body) for e in future.result())
-            self.post(events.FeedBatch(effect.path, effect.after, batch))
+            self.post_event(events.FeedBatch(effect.path, effect.after, batch))
         else:
-            self.post(events.FeedFailed(effect.path, str(error)))
+            self.post_event(events.FeedFailed(effect.path, str(error)))
 
     def poll_feed(self, effect: effects.PollFeed) -> list[client.Event]:
         """Ask the upstream for the next events of a feed."""
-        wait_until = clock.now() + FEED_WAIT_MS
+        wait_until = clock.now() + FEED_POLL_MS
         return self.upstream.events(
-            effect.path, effect.after, FEED_EVENTS, wait_until, service=effect.service
+            effect.path, effect.after, MAX_FEED_EVENTS, wait_until, service=effect.service
         )
 
     def send_transfer(self, effect: effects.SendTransfer) -> transfer.TransferReply:
         """Send a flow to another sidecar and return its reply."""
-        question = self.sealed_transfer(effect.transfer)
-        wait_until = clock.now() + TRANSFER_WAIT_MS
+        question = self.seal_transfer(effect.transfer)
+        wait_until = clock.now() + TRANSFER_TIMEOUT_MS
         answer = bulk.exchange(effect.address, TRANSFER_PATH, question, wait_until)
         body = self.bulk_seal.open(answer, replayable=True).body
         reply = transfer.TRANSFERS.from_items(body)
@@ -285,32 +285,32 @@
             return
         error = future.exception()
         if error is None:
-            self.post(events.TransferAnswered(sent.flow, future.result()))
+            self.post_event(events.TransferAnswered(sent.flow, future.result()))
             return
         if not isinstance(error, errors.EbonystileError):
             logs.failure("transfer_failed", error)
-        self.post(events.TransferFailed(sent.flow, sent.id, str(error)))
+        self.post_event(events.TransferFailed(sent.flow, sent.id, str(error)))
 
 
 @functools.singledispatch
-def carry_out(effect: typing.Any, daemon: Daemon) -> None:
+def execute(effect: typing.Any, daemon: Daemon) -> None:
     """Do what the core asks for."""
     raise TypeError(f"no way to carry out {type(effect).__name__}")
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.ToCaller, daemon):
     content = messages.pack_return(messages.Return(effect.caller, effect.payload))
     loop.send(daemon.peers, daemon.seal.seal_content(content), effect.balancer)
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.ToSidecar, daemon):
     content = messages.pack_forward(effect.forward)
     loop.send(daemon.peers, daemon.seal.seal_content(content), effect.address)
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.SendLoad, daemon):
     content = messages.pack_load(effect.report)
     for address in effect.addresses:
@@ -318,44 +318,44 @@
     daemon.counts["load_reports"] += len(effect.addresses)
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.RunRequest, daemon):
     job = client.Job(
         effect.key[1], effect.service, effect.path, effect.body, effect.deadline, effect.idempotent
     )
-    future = daemon.runs.submit(daemon.hand_over_request, job)
+    future = daemon.run_calls.submit(daemon.run_request, job)
     future.add_done_callback(functools.partial(daemon.on_run_done, effect.key, clock.now()))
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.CancelRequest, daemon):
-    daemon.control.submit(daemon.upstream.cancel, effect.key[1])
+    daemon.control_calls.submit(daemon.upstream.cancel, effect.key[1])
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.PollFeed, daemon):
-    future = daemon.polls.submit(daemon.poll_feed, effect)
+    future = daemon.feed_calls.submit(daemon.poll_feed, effect)
     future.add_done_callback(functools.partial(daemon.on_poll_done, effect))
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.SendTransfer, daemon):
-    future = daemon.bulk.submit(daemon.send_transfer, effect)
+    future = daemon.bulk_calls.submit(daemon.send_transfer, effect)
     future.add_done_callback(functools.partial(daemon.on_transfer_done, effect.transfer))
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.AnswerTransfer, daemon):
-    future = daemon.replies.get(effect.handle)
+    future = daemon.pending_replies.get(effect.handle)
     if future is not None and not future.done():
         future.set_result(effect.reply)
 
 
-@carry_out.register
+@execute.register
 def _(effect: effects.Trace, daemon):
-    daemon.report.event(
+    daemon.reporter.event(
         effect.event,
-        level=reporting.DETAIL,
+        level=reporting.DETAIL_LEVEL,
         flow=effect.flow,
         request=effect.request,
         **dict(effect.fields),
--- a/src/ebonystile/logline.py
+++ b/src/ebonystile/logline.py
@@ -3,15 +3,17 @@
 import json
 import typing
 
-PLAIN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+,@[]")
+UNQUOTED_CHARACTERS = frozenset(
+    "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+,@[]"
+)
 """Characters that a value may have without quotes."""
 
 
-def text_of(value: typing.Any) -> str:
+def format_value(value: typing.Any) -> str:
     """Return a value as it stands in a line: bytes as hex, quoted where it must be."""
     if isinstance(value, bytes):
         return value.hex() or '""'
     if isinstance(value, bool):
         return "true" if value else "false"
     text = str(value)
-    return text if text and PLAIN.issuperset(text) else json.dumps(text)
+    return text if text and UNQUOTED_CHARACTERS.issuperset(text) else json.dumps(text)
--- a/src/ebonystile/logs.py
+++ b/src/ebonystile/logs.py
@@ -13,7 +13,7 @@
 
 from ebonystile import logline
 
-LIBRARY_LEVEL = logging.WARNING
+MIN_LIBRARY_LEVEL = logging.WARNING
 """Least level taken over from libraries that log by the standard module."""
 
 
@@ -23,8 +23,10 @@
     loguru.logger.configure(
         extra={"program": program, "process": name, "incarnation": f"{incarnation:016x}"}
     )
-    loguru.logger.add(sys.stderr, level=level, format=line_format, backtrace=False, diagnose=False)
-    logging.basicConfig(handlers=[LibraryHandler()], level=LIBRARY_LEVEL, force=True)
+    loguru.logger.add(
+        sys.stderr, level=level, format=format_record, backtrace=False, diagnose=False
+    )
+    logging.basicConfig(handlers=[LibraryHandler()], level=MIN_LIBRARY_LEVEL, force=True)
 
 
 def event(name: str, /, *, level: str = "INFO", **fields: typing.Any) -> None:
@@ -38,13 +40,13 @@
     event(name, level="ERROR", **fields, error=repr(error), traceback="".join(lines))
 
 
-def line_format(record: typing.Any) -> str:
+def format_record(record: typing.Any) -> str:
     """Return the line as loguru wants it: a template that it fills from the record."""
-    record["extra"]["line"] = line_of(record)
+    record["extra"]["line"] = format_line(record)
     return "{extra[line]}\n"
 
 
-def line_of(record: typing.Any) -> str:
+def format_line(record: typing.Any) -> str:
     """Return the line that stands for the record."""
     extra = record["extra"]
     utc = record["time"].astimezone(datetime.UTC)
@@ -57,7 +59,7 @@
         "event": record["message"],
     }
     pairs.update(extra.get("fields", {}))
-    return " ".join(f"{key}={logline.text_of(value)}" for key, value in pairs.items())
+    return " ".join(f"{key}={logline.format_value(value)}" for key, value in pairs.items())
 
 
 class LibraryHandler(logging.Handler):
--- a/src/ebonystile/loop.py
+++ b/src/ebonystile/loop.py
@@ -18,13 +18,13 @@
 from ebonystile.core import view
 
 RECEIVE_BYTES = 65_535
-BATCH = 64
+BATCH_DATAGRAMS = 64
 """Datagrams taken from one socket before the next one and the inbox get their turn."""
 
 MAX_LAG_MS = 1000
 """Longest time that a datagram is taken to have waited, in ms: the socket's buffer is bounded."""
 
-FULL_RECENTLY_MS = 100
+RECENTLY_FULL_MS = 100
 """A full batch longer ago than this was the last one: the socket fell silent, in ms."""
 
 BUFFER_BYTES = 8 << 20
@@ -55,25 +55,25 @@
         self.receivers: dict[socket.socket, Receiver] = {}
         self.running = True
         self.now = clock.now()
-        self.waker, self.woken = socket.socketpair()
-        self.waker.setblocking(False)
-        self.woken.setblocking(False)
-        self.selector.register(self.woken, selectors.EVENT_READ, self.on_woken)
+        self.wake_sender, self.wake_receiver = socket.socketpair()
+        self.wake_sender.setblocking(False)
+        self.wake_receiver.setblocking(False)
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ, self.drain_wakeups)
 
     def post(self, action: abc.Callable[[], None]) -> None:
         """Let the owner thread do something soon."""
         self.inbox.append(action)
         try:
-            self.waker.send(b"\0")
+            self.wake_sender.send(b"\0")
         except OSError:
             # A full pipe means that the thread is to wake up anyway; a closed one, that it ended.
             pass
 
-    def every(self, period: int, action: abc.Callable[[], None]) -> None:
+    def call_every(self, period: int, action: abc.Callable[[], None]) -> None:
         """Do something every `period` ms from now on."""
         self.timers.append(Timer(clock.now() + period, period, action))
 
-    def at(self, due: int, action: abc.Callable[[], None]) -> None:
+    def call_at(self, due: int, action: abc.Callable[[], None]) -> None:
         """Do something once at the time `due` in ms."""
         heapq.heappush(self.alarms, (due, next(self.alarm_numbers), action))
 
@@ -93,14 +93,14 @@
     def lag(self, udp: socket.socket) -> int:
         """Return for how long the socket has not been emptied, in ms: 0 if the loop keeps up."""
         receiver = self.receivers[udp]
-        if receiver.behind_since is None or clock.now() - receiver.full_at > FULL_RECENTLY_MS:
+        if receiver.behind_since is None or clock.now() - receiver.last_full_at > RECENTLY_FULL_MS:
             return 0
-        return min(MAX_LAG_MS, receiver.full_at - receiver.behind_since)
+        return min(MAX_LAG_MS, receiver.last_full_at - receiver.behind_since)
 
-    def on_woken(self) -> None:
+    def drain_wakeups(self) -> None:
         """Empty the waking pipe."""
         try:
-            self.woken.recv(4096)
+            self.wake_receiver.recv(4096)
         except OSError:
             pass
 
@@ -109,15 +109,15 @@
         while self.running:
             self.step()
         for key in list(self.selector.get_map().values()):
-            if key.fileobj is not self.woken:
+            if key.fileobj is not self.wake_receiver:
                 key.fileobj.close()
         self.selector.close()
-        self.waker.close()
-        self.woken.close()
+        self.wake_sender.close()
+        self.wake_receiver.close()
 
     def step(self) -> None:
         """Wait for the next thing to do and do it."""
-        ready = self.selector.select(self.seconds_to_timer())
+        ready = self.selector.select(self.seconds_until_due())
         self.now = clock.now()
         for key, _ in ready:
             key.data()
@@ -131,7 +131,7 @@
         while self.alarms and self.alarms[0][0] <= now:
             heapq.heappop(self.alarms)[2]()
 
-    def seconds_to_timer(self) -> float | None:
+    def seconds_until_due(self) -> float | None:
         """Return how long nothing is due."""
         if self.inbox:
             return 0
@@ -166,7 +166,7 @@
 
     Asking an empty socket costs as much as taking a datagram, so `batch` doubles while it is used
     up and falls back to what came. Since `behind_since` (ms) no batch has emptied the socket, the
-    last of the largest ones being that of `full_at`.
+    last of the largest ones being that of `last_full_at`.
     """
 
     def __init__(self, udp: socket.socket, on_datagram: abc.Callable[[bytes, view.Address], None]):
@@ -174,7 +174,7 @@
         self.on_datagram = on_datagram
         self.batch = 1
         self.behind_since: int | None = None
-        self.full_at = 0
+        self.last_full_at = 0
 
     def drain(self) -> None:
         """Take a batch of datagrams.
@@ -193,10 +193,12 @@
             except OSError:
                 continue
             on_datagram(data, source)
-        if self.batch == BATCH:
-            self.full_at = clock.now()
-            self.behind_since = self.full_at if self.behind_since is None else self.behind_since
-        self.batch = min(BATCH, self.batch * 2)
+        if self.batch == BATCH_DATAGRAMS:
+            self.last_full_at = clock.now()
+            self.behind_since = (
+                self.last_full_at if self.behind_since is None else self.behind_since
+            )
+        self.batch = min(BATCH_DATAGRAMS, self.batch * 2)
 
 
 def send(udp: socket.socket, data: bytes, address: view.Address) -> bool:
@@ -208,7 +210,7 @@
     return True
 
 
-def on_signals(
+def install_signal_handlers(
     owner: Loop, leave: abc.Callable[[str], None], again: abc.Callable[[str], None]
 ) -> None:
     """Call `leave` at the first SIGTERM or SIGINT, `again` at later ones, in the loop's thread."""
--- a/src/ebonystile/metrics.py
+++ b/src/ebonystile/metrics.py
@@ -15,7 +15,7 @@
 from hdrh import histogram
 
 PREFIX = "ebonystile_"
-LONGEST_MS = 3_600_000
+MAX_DURATION_MS = 3_600_000
 SIGNIFICANT_DIGITS = 2
 WINDOW_MS = 60_000
 """Quantiles are of the last one to two windows; count and sum of the whole run."""
@@ -38,29 +38,29 @@
         self.count = 0
         self.sum = 0
         self.window_end = 0
-        self.present = make_histogram()
+        self.current = make_histogram()
         self.previous = make_histogram()
 
     def record(self, now: int, duration: int) -> None:
-        """Add one duration in ms; a longer one than `LONGEST_MS` counts as that."""
+        """Add one duration in ms; a longer one than `MAX_DURATION_MS` counts as that."""
         if now >= self.window_end:
-            self.turn(now)
+            self.rotate_window(now)
         self.count += 1
         self.sum += duration
-        self.present.record_value(min(max(duration, 0), LONGEST_MS))
+        self.current.record_value(min(max(duration, 0), MAX_DURATION_MS))
 
-    def turn(self, now: int) -> None:
+    def rotate_window(self, now: int) -> None:
         """Start a new window; what is older than the one before is forgotten."""
         stale = now >= self.window_end + WINDOW_MS
-        self.previous = make_histogram() if stale else self.present
-        self.present = make_histogram()
+        self.previous = make_histogram() if stale else self.current
+        self.current = make_histogram()
         self.window_end = now + WINDOW_MS
 
     def quantiles(self) -> dict[float, int]:
         """Return the durations in ms at `QUANTILES`, empty where nothing was recorded lately."""
         recent = make_histogram()
         recent.add(self.previous)
-        recent.add(self.present)
+        recent.add(self.current)
         if not recent.get_total_count():
             return {}
         return {q: recent.get_value_at_percentile(100 * q) for q in QUANTILES}
@@ -68,7 +68,7 @@
 
 def make_histogram() -> histogram.HdrHistogram:
     """Return an empty histogram of milliseconds (about 18 kB)."""
-    return histogram.HdrHistogram(1, LONGEST_MS, SIGNIFICANT_DIGITS)
+    return histogram.HdrHistogram(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
     label: str
 
 
-Holder = Counter | Latency | Gauge | Tally
+Metric = Counter | Latency | Gauge | Tally
 Labels = tuple[tuple[str, str], ...]
 
 KINDS = {Counter: "counter", Latency: "summary", Gauge: "gauge", Tally: "counter"}
@@ -99,7 +99,7 @@
     kind: str
     name: str
     help: str
-    series: dict[Labels, Holder]
+    series: dict[Labels, Metric]
 
 
 class Metrics:
@@ -113,21 +113,21 @@
 
     def counter(self, name: str, help: str, **labels: str) -> Counter:
         """Return the counter of this name and these labels; `_total` is added to the name."""
-        return self.hold(name, help, labels, Counter())
+        return self.register(name, help, labels, Counter())
 
     def latency(self, name: str, help: str, **labels: str) -> Latency:
         """Return the latency of this name and these labels; let the name end in `_seconds`."""
-        return self.hold(name, help, labels, Latency())
+        return self.register(name, help, labels, Latency())
 
     def gauge(self, name: str, help: str, read: abc.Callable[[], float], **labels: str) -> Gauge:
         """Expose what `read` returns; it must be safe to call from another thread."""
-        return self.hold(name, help, labels, Gauge(read))
+        return self.register(name, help, labels, Gauge(read))
 
     def tally(self, name: str, help: str, counts: abc.Mapping[str, int], label: str) -> Tally:
         """Expose a mapping of counts, its keys as the values of one label."""
-        return self.hold(name, help, {}, Tally(counts, label))
+        return self.register(name, help, {}, Tally(counts, label))
 
-    def hold(self, name: str, help: str, labels: dict[str, str], holder: Holder) -> typing.Any:
+    def register(self, name: str, help: str, labels: dict[str, str], holder: Metric) -> typing.Any:
         """Return the holder of one series, which is `holder` itself where the series is new."""
         kind = KINDS[type(holder)]
         family = self.families.setdefault(name, Family(kind, PREFIX + name, help, {}))
@@ -140,10 +140,12 @@
         lines: list[str] = []
         for family in list(self.families.values()):
             name = family.name + ("_total" if family.kind == "counter" else "")
-            lines.append(f"# HELP {name} {escaped(family.help)}")
+            lines.append(f"# HELP {name} {escape(family.help)}")
             lines.append(f"# TYPE {name} {family.kind}")
             for labels, holder in list(family.series.items()):
-                lines.extend(text_of(sample) for sample in samples_of(holder, family.name, labels))
+                lines.extend(
+                    format_sample(sample) for sample in samples_of(holder, family.name, labels)
+                )
         return "\n".join([*lines, ""]).encode()
 
 
@@ -157,7 +159,7 @@
 
 
 @functools.singledispatch
-def samples_of(holder: Holder, name: str, labels: Labels) -> list[Sample]:
+def samples_of(holder: Metric, name: str, labels: Labels) -> list[Sample]:
     """Return the samples of one series."""
     raise TypeError(f"no samples for {type(holder)}")
 
@@ -194,13 +196,13 @@
     ]
 
 
-def text_of(sample: Sample) -> str:
+def format_sample(sample: Sample) -> str:
     """Return a sample as a line."""
-    marks = ",".join(f'{key}="{escaped(value, quoted=True)}"' for key, value in sample.labels)
+    marks = ",".join(f'{key}="{escape(value, quoted=True)}"' for key, value in sample.labels)
     return f"{sample.name}{f'{{{marks}}}' if marks else ''} {float(sample.value)!r}"
 
 
-def escaped(text: str, *, quoted: bool = False) -> str:
+def escape(text: str, *, quoted: bool = False) -> str:
     """Return a text as the format wants it, within quotes or in a help line."""
     plain = text.replace("\\", "\\\\").replace("\n", "\\n")
     return plain.replace('"', '\\"') if quoted else plain
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -102,7 +102,7 @@
 
 PackedInstance = tuple[str, Address, str, bool]
 PackedDelta = tuple[int, int, int, tuple[str, ...] | None]
-CHECK_UPDATE = codec.check_for(
+CHECK_UPDATE = codec.make_check(
     tuple[
         PackedDelta,
         tuple[tuple[str, int, bytes | None], ...],
--- a/src/ebonystile/settings.py
+++ b/src/ebonystile/settings.py
@@ -80,7 +80,7 @@
     return pydantic.Field(default, ge=least, le=most, description=description)
 
 
-def count(default: int, description: str, *, least: int = 1, most: int = 10_000_000):
+def integer(default: int, description: str, *, least: int = 1, most: int = 10_000_000):
     """Return a field for a number of things."""
     return pydantic.Field(default, ge=least, le=most, description=description)
 
@@ -149,8 +149,8 @@
         "is left to do.",
         most=24 * 60 * MINUTE,
     )
-    tcp_connection_limit: int = count(64, "TCP connections held at once; more are refused.")
-    event_limit: int = count(10_000, "Events kept in memory for the time line; oldest go first.")
+    tcp_connection_limit: int = integer(64, "TCP connections held at once; more are refused.")
+    event_limit: int = integer(10_000, "Events kept in memory for the time line; oldest go first.")
 
 
 def share(default: float, description: str, *, most: float = 1.0):
@@ -161,7 +161,7 @@
 class GateSettings(validation.StrictModel):
     """When a balancer refuses opens; docs/POLICY.md tells how to tune it."""
 
-    opens_per_second: int = count(
+    opens_per_second: int = integer(
         5_000, "Opens carried a second; beyond it each service and caller gets a fair share."
     )
     lag_ms: int = duration(50, "Lag behind the arriving datagrams beyond which less is carried.")
@@ -177,12 +177,12 @@
     ] = pydantic.Field(
         "power-of-two", description="How it is decided whether an open is kept or passed on."
     )
-    candidates: int = count(2, "Siblings compared for an open (power-of-two).", most=64)
+    candidates: int = integer(2, "Siblings compared for an open (power-of-two).", most=64)
     work_gap: float = share(
         0.3, "Requests a slot by which a sibling must have less for an open to go there.", most=100
     )
     flow_gap: float = share(0.1, "Share of flows by which it must hold fewer, with work alike.")
-    passes: int = count(3, "How often an open is passed on at most.", least=0, most=8)
+    passes: int = integer(3, "How often an open is passed on at most.", least=0, most=8)
     report_fade: float = share(
         0.5,
         "Time in which a report fades towards the mean, in recent request times; 0 never fades.",
@@ -190,8 +190,8 @@
     )
     report_ms: int = duration(SECOND, "How often siblings are told the load.", least=100)
     report_least_ms: int = duration(100, "Least time between two reports of changed load.")
-    report_step: int = count(2, "Change of work, in requests, that is reported early.")
-    report_fanout: int = count(8, "Siblings that are told.", most=64)
+    report_step: int = integer(2, "Change of work, in requests, that is reported early.")
+    report_fanout: int = integer(8, "Siblings that are told.", most=64)
     stale_after_ms: int = duration(3 * SECOND, "Age at which a sibling's report is ignored.")
     ramp_ms: int = duration(
         30 * SECOND, "Time in which a fresh or returning upstream gets to its whole weight."
@@ -208,7 +208,7 @@
     return_horizon_ms: int = duration(
         10 * SECOND, "Latest that a refused request is told to come back."
     )
-    suspect_failures: int = count(3, "Failures in a row that make the upstream suspected.")
+    suspect_failures: int = integer(3, "Failures in a row that make the upstream suspected.")
     suspect_hold_ms: int = duration(
         2 * SECOND, "First time that a suspected upstream is left alone; doubled at each relapse."
     )
@@ -235,13 +235,13 @@
     """The settings of `ebonystile-sidecar`."""
 
     upstream: Url = pydantic.Field(description="URL of the upstream beside this process.")
-    slots: int = count(2, "Requests that the upstream runs at once.", most=10_000)
-    queue_limit: int = count(64, "Requests that may wait for a slot; more are refused.", least=0)
-    flow_limit: int = count(8_000, "Flows that may have their home here; more are passed on.")
-    ledger_limit: int = count(
+    slots: int = integer(2, "Requests that the upstream runs at once.", most=10_000)
+    queue_limit: int = integer(64, "Requests that may wait for a slot; more are refused.", least=0)
+    flow_limit: int = integer(8_000, "Flows that may have their home here; more are passed on.")
+    ledger_limit: int = integer(
         50_000, "Requests remembered at once; when it is full, new requests are refused."
     )
-    ledger_bytes_limit: int = count(
+    ledger_bytes_limit: int = integer(
         64 << 20, "Bytes of answers and uploads remembered at once.", most=16 << 30
     )
     flow_lease_ms: int = duration(
@@ -300,7 +300,7 @@
     )
     keys: Keys = pydantic.Field(description="Keys of the system's processes; the first one signs.")
     wait_ms: int = duration(2 * SECOND, "Longest time that one command waits for processes.")
-    parallel: int = count(64, "Processes asked at the same time.", most=1_000)
+    parallel: int = integer(64, "Processes asked at the same time.", most=1_000)
 
     @pydantic.model_validator(mode="after")
     def check_source(self) -> typing.Self:
--- a/src/ebonystile/timeline.py
+++ b/src/ebonystile/timeline.py
@@ -50,7 +50,7 @@
     event: str = ""
     since: int = 0
 
-    def takes(self, record: Record) -> bool:
+    def matches(self, record: Record) -> bool:
         """Tell whether the record is wanted."""
         return (
             record.flow.startswith(self.flow)
@@ -61,7 +61,7 @@
         )
 
 
-class Ring:
+class EventRing:
     """The last events of this process; threads may add and read at the same time."""
 
     def __init__(self, process: str, role: str, incarnation: int, limit: int):
@@ -112,15 +112,15 @@
         for record in reversed(present):
             if len(chosen) >= limit:
                 break
-            if wanted.takes(record):
+            if wanted.matches(record):
                 chosen.append(record)
         chosen.reverse()
         return chosen
 
 
-def make_ring(process: str, role: str, incarnation: int, limit: int) -> Ring:
+def make_ring(process: str, role: str, incarnation: int, limit: int) -> EventRing:
     """Return an empty ring for at most `limit` events."""
-    return Ring(process, role, incarnation, limit)
+    return EventRing(process, role, incarnation, limit)
 
 
 def merge(records: typing.Iterable[Record]) -> list[Record]:
@@ -129,9 +129,9 @@
     A record whose cause is later by its clock is put right after the cause. Where causes form a
     circle (ids used twice), the earliest by time goes first, so every record comes out once.
     """
-    ordered = sorted(set(records), key=rank)
-    effects, waiting = causes_of(ordered)
-    ready = [(rank(r), n) for n, r in enumerate(ordered) if not waiting[n]]
+    ordered = sorted(set(records), key=sort_key)
+    effects, waiting = causal_graph(ordered)
+    ready = [(sort_key(r), n) for n, r in enumerate(ordered) if not waiting[n]]
     heapq.heapify(ready)
     merged: list[Record] = []
     done = [False] * len(ordered)
@@ -147,26 +147,26 @@
         for effect in effects[number]:
             waiting[effect] -= 1
             if not waiting[effect] and not done[effect]:
-                heapq.heappush(ready, (rank(ordered[effect]), effect))
+                heapq.heappush(ready, (sort_key(ordered[effect]), effect))
     return merged
 
 
-def rank(record: Record) -> tuple[int, str, int, int]:
+def sort_key(record: Record) -> tuple[int, str, int, int]:
     """Return what records are sorted by where nothing is known of cause and effect."""
     return record.time, record.process, record.incarnation, record.sequence
 
 
-def causes_of(ordered: list[Record]) -> tuple[list[list[int]], list[int]]:
+def causal_graph(ordered: list[Record]) -> tuple[list[list[int]], list[int]]:
     """Return the effects of each record by number, and how many causes each one waits for."""
     effects: list[list[int]] = [[] for _ in ordered]
     waiting = [0] * len(ordered)
-    for cause, effect in [*own_order(ordered), *linked_order(ordered)]:
+    for cause, effect in [*process_order(ordered), *link_order(ordered)]:
         effects[cause].append(effect)
         waiting[effect] += 1
     return effects, waiting
 
 
-def own_order(ordered: list[Record]) -> list[tuple[int, int]]:
+def process_order(ordered: list[Record]) -> list[tuple[int, int]]:
     """Return pairs of neighbours in the sequence of each start of each process."""
     by_process = collections.defaultdict(list)
     for number, record in enumerate(ordered):
@@ -178,7 +178,7 @@
     return pairs
 
 
-def linked_order(ordered: list[Record]) -> list[tuple[int, int]]:
+def link_order(ordered: list[Record]) -> list[tuple[int, int]]:
     """Return pairs of records of the same exchange, each with one of the step before."""
     by_link = collections.defaultdict(list)
     for number, record in enumerate(ordered):
--- a/src/ebonystile/validation.py
+++ b/src/ebonystile/validation.py
@@ -46,14 +46,16 @@
     try:
         text = data.decode()
         try:
-            return json.loads(text, object_pairs_hook=unique, parse_constant=refuse_constant)
+            return json.loads(
+                text, object_pairs_hook=reject_duplicate_keys, parse_constant=reject_constant
+            )
         except json.JSONDecodeError:
             return json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
         raise errors.SettingsError([f"not JSON: {error}"], step=step, peer=peer) from error
 
 
-def unique(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
+def reject_duplicate_keys(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
     """Return the object of these pairs; raise `ValueError` where a key is given twice."""
     value = dict(pairs)
     if len(value) < len(pairs):
@@ -63,7 +65,7 @@
     return value
 
 
-def refuse_constant(name: str) -> typing.Any:
+def reject_constant(name: str) -> typing.Any:
     """Refuse NaN and the infinities, which are not JSON (RFC 8259 section 6)."""
     raise ValueError(f"{name} is not a number")
 
@@ -73,23 +75,23 @@
     try:
         return model.model_validate(value)
     except pydantic.ValidationError as error:
-        faults = [describe(model, detail) for detail in error.errors(include_url=False)]
+        faults = [describe_fault(model, detail) for detail in error.errors(include_url=False)]
         raise errors.SettingsError(faults, step=step, peer=peer) from error
 
 
-def describe(model: type[pydantic.BaseModel], detail: typing.Mapping[str, typing.Any]) -> str:
+def describe_fault(model: type[pydantic.BaseModel], detail: typing.Mapping[str, typing.Any]) -> str:
     """Return one fault as `path: what is wrong`."""
     location = detail["loc"]
-    where = path_of(location)
+    where = format_path(location)
     if detail["type"] == "extra_forbidden":
-        return f"{where}: unknown key{suggestion(model, location)}"
+        return f"{where}: unknown key{suggest_key(model, location)}"
     if detail["type"] == "missing":
         return f"{where}: is required"
     reason = detail["msg"].removeprefix("Value error, ")
     return f"{where}: {reason}" if where else reason
 
 
-def path_of(location: tuple[str | int, ...]) -> str:
+def format_path(location: tuple[str | int, ...]) -> str:
     """Return a location such as `keys[0].secret`."""
     path = ""
     for step in location:
@@ -97,7 +99,7 @@
     return path.removeprefix(".")
 
 
-def suggestion(model: type[pydantic.BaseModel], location: tuple[str | int, ...]) -> str:
+def suggest_key(model: type[pydantic.BaseModel], location: tuple[str | int, ...]) -> str:
     """Return the nearest known key to the unknown one at `location`, as the end of a sentence."""
     parent = model_at(model, location[:-1])
     if parent is None:
@@ -108,7 +110,7 @@
 
 def model_at(annotation: typing.Any, location: tuple[str | int, ...]) -> typing.Any:
     """Return the model that a location leads to, or None where the way isn't through models."""
-    annotation = unwrapped(annotation)
+    annotation = unwrap(annotation)
     if not location:
         return annotation if is_model(annotation) else None
     step, rest = location[0], location[1:]
@@ -119,14 +121,14 @@
     return model_at(arguments[-1], rest) if arguments else None
 
 
-def unwrapped(annotation: typing.Any) -> typing.Any:
+def unwrap(annotation: typing.Any) -> typing.Any:
     """Return an annotation without `Annotated` and without `| None`."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
-        return unwrapped(typing.get_args(annotation)[0])
+        return unwrap(typing.get_args(annotation)[0])
     if origin in (typing.Union, types.UnionType):
         choices = [a for a in typing.get_args(annotation) if a is not type(None)]
-        return unwrapped(choices[0])
+        return unwrap(choices[0])
     return annotation
 
 
--- a/src/ebonystile/webclient.py
+++ b/src/ebonystile/webclient.py
@@ -7,10 +7,10 @@
 
 from ebonystile import clock, errors
 
-LEAST_SECONDS = 0.001
+MIN_TIMEOUT_S = 0.001
 """Shortest timeout in seconds; a deadline that has passed is checked before anything is sent."""
 
-CHUNK = 1 << 16
+CHUNK_BYTES = 1 << 16
 
 Clock = typing.Callable[[], int]
 
@@ -56,7 +56,7 @@
         whether the server read the request, so it is reported as possibly sent, never repeated.
         """
         seconds = (deadline - self.now()) / 1000
-        if seconds < LEAST_SECONDS:
+        if seconds < MIN_TIMEOUT_S:
             raise fail("the deadline has passed", False)
         try:
             response = self.pool.urlopen(
@@ -91,7 +91,7 @@
         parts = []
         size = 0
         try:
-            for part in response.stream(CHUNK):
+            for part in response.stream(CHUNK_BYTES):
                 parts.append(part)
                 size += len(part)
                 if size > limit:
--- a/tests/carrier/test_relay.py
+++ b/tests/carrier/test_relay.py
@@ -40,7 +40,7 @@
 
     def step_until(self, done, timeout_ms=3_000):
         end = clock.now() + timeout_ms
-        self.loop.every(20, lambda: None)
+        self.loop.call_every(20, lambda: None)
         while not done() and clock.now() < end:
             self.loop.step()
         assert done()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -23,7 +23,7 @@
 GONE = view.Token(view.key_of("u9"), 0xAA, view.key_of("s")).pack()
 
 
-def make_subject(role, surroundings=None):
+def make_process(role, shell=None):
     if role == answers.BALANCER:
         core = balancer.make_balancer(("10.0.0.9", 2), random.Random(1))
     else:
@@ -31,48 +31,48 @@
     core.view = VIEW
     identity = answers.Identity("u1", role, "a", 0xAA, 1_000)
     ring = timeline.make_ring("u1", role, 0xAA, 10)
-    return answers.Subject(core, identity, surroundings or answers.Surroundings(), ring, 61_000)
+    return answers.ProcessState(core, identity, shell or answers.ShellState(), ring, 61_000)
 
 
-def hold_flow(subject):
+def hold_flow(process):
     caller = ("10.9.0.1", 5)
     flow = flows.Flow(FLOW, "s", HOME, caller, caller, 99_000, {0xAA})
-    subject.core.flows[FLOW] = flow
+    process.core.flows[FLOW] = flow
     return flow
 
 
 def test_status_of_a_sidecar():
-    subject = make_subject(answers.SIDECAR, answers.Surroundings(1, "", ("b1",), ("bad",)))
-    hold_flow(subject)
-    subject.core.slots.admit((FLOW, ID), "ledger", 1 << 60, 0, random.Random(1))
-    subject.core.served_services = frozenset({"s"})
-    status = answers.answer(messages.StatusRequest(ID), subject)
+    process = make_process(answers.SIDECAR, answers.ShellState(1, "", ("b1",), ("bad",)))
+    hold_flow(process)
+    process.core.slots.admit((FLOW, ID), "ledger", 1 << 60, 0, random.Random(1))
+    process.core.served_services = frozenset({"s"})
+    status = answers.answer(messages.StatusRequest(ID), process)
     assert (status.revision, status.flows, status.running, status.queued) == (7, 1, 1, 1)
     assert (status.suspected, status.refusals, status.services) == (("b1",), ("bad",), ("s",))
     assert status.now - status.started == 60_000
 
 
 def test_a_flow_that_was_handed_over_is_not_counted():
-    subject = make_subject(answers.SIDECAR)
-    hold_flow(subject).moved_to = UPSTREAMS[2]
-    assert answers.answer(messages.StatusRequest(ID), subject).flows == 0
+    process = make_process(answers.SIDECAR)
+    hold_flow(process).moved_to = UPSTREAMS[2]
+    assert answers.answer(messages.StatusRequest(ID), process).flows == 0
 
 
 def test_status_of_a_leaving_balancer():
-    subject = make_subject(answers.BALANCER, answers.Surroundings(leaving="SIGTERM"))
-    status = answers.answer(messages.StatusRequest(ID), subject)
+    process = make_process(answers.BALANCER, answers.ShellState(leaving="SIGTERM"))
+    status = answers.answer(messages.StatusRequest(ID), process)
     assert (status.role, status.leaving, status.flows) == ("balancer", "SIGTERM", 0)
 
 
 def test_events_are_the_newest_that_fit(monkeypatch):
-    subject = make_subject(answers.SIDECAR)
+    process = make_process(answers.SIDECAR)
     for time in range(5):
-        subject.ring.add(time, "opened", flow=FLOW)
+        process.ring.add(time, "opened", flow=FLOW)
     question = messages.EventsRequest(ID, FLOW[:2], b"", "", "", 2, 9)
-    answer = answers.answer(question, subject)
+    answer = answers.answer(question, process)
     assert [messages.RECORDS.decode(r).time for r in answer.records] == [2, 3, 4]
     monkeypatch.setattr(answers, "MAX_RECORDS_BYTES", 2 * len(answer.records[0]))
-    answer = answers.answer(question, subject)
+    answer = answers.answer(question, process)
     assert [messages.RECORDS.decode(r).time for r in answer.records] == [3, 4]
 
 
@@ -88,33 +88,33 @@
 )
 def test_explain_says_where_a_token_leads(token, sends_to, why):
     question = messages.ExplainRequest(ID, "s", FLOW, token)
-    found = answers.answer(question, make_subject(answers.BALANCER))
+    found = answers.answer(question, make_process(answers.BALANCER))
     assert (found.sends_to, found.holds, found.known) == (sends_to, messages.ABSENT, True)
     assert found.why.startswith(why)
     assert set(found.ranking) == {"u1", "u3"} and found.leaving == ("u2",)
 
 
 def test_explain_says_who_holds_a_flow():
-    subject = make_subject(answers.SIDECAR)
+    process = make_process(answers.SIDECAR)
     question = messages.ExplainRequest(ID, "s", FLOW, b"")
-    assert answers.answer(question, subject).holds == messages.ABSENT
-    flow = hold_flow(subject)
-    assert answers.answer(question, subject).holds == messages.HOME
+    assert answers.answer(question, process).holds == messages.ABSENT
+    flow = hold_flow(process)
+    assert answers.answer(question, process).holds == messages.HOME
     flow.handover = flows.Handover(ID, UPSTREAMS[2], 9)
-    found = answers.answer(question, subject)
+    found = answers.answer(question, process)
     assert (found.holds, found.target) == (messages.FENCED, "u3")
     flow.moved_to = UPSTREAMS[0]
-    found = answers.answer(question, subject)
+    found = answers.answer(question, process)
     assert (found.holds, found.target) == (messages.MOVED, "u1")
 
 
 def test_explain_of_an_unknown_service():
     question = messages.ExplainRequest(ID, "none", FLOW, HOME)
-    found = answers.answer(question, make_subject(answers.SIDECAR))
+    found = answers.answer(question, make_process(answers.SIDECAR))
     assert (found.known, found.ranking) == (False, ())
 
 
 def test_a_process_names_the_others():
-    found = answers.answer(messages.ProcessesRequest(ID), make_subject(answers.BALANCER))
+    found = answers.answer(messages.ProcessesRequest(ID), make_process(answers.BALANCER))
     assert ("10.0.0.9:2", "balancer", ("10.0.0.9", 2)) in found.processes
     assert ("u3", "sidecar", ("10.0.0.3", 1)) in found.processes
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -31,7 +31,7 @@
     [
         b"",
         b"\xff",
-        b"\x00" * (codec.MAX_DATAGRAM + 1),
+        b"\x00" * (codec.MAX_DATAGRAM_BYTES + 1),
         cbor2.dumps([]),
         cbor2.dumps([2, "a", 7, [], None]),
         cbor2.dumps([1, "a", 7, []]),
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -71,7 +71,7 @@
     value = data.draw(st.integers(0, 255))
     refused_or_whole(family, encoded[:place] + bytes([value]) + encoded[place + 1 :])
     with pytest.raises(errors.DatagramError):
-        family.decode(encoded.ljust(codec.MAX_DATAGRAM + 1, b"\0"))
+        family.decode(encoded.ljust(codec.MAX_DATAGRAM_BYTES + 1, b"\0"))
 
 
 FOREIGN = st.recursive(
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -30,7 +30,7 @@
 from ebonystile import loop
 from ebonystile.daemon import guard
 owner = loop.Loop()
-guard.on_signals(owner, lambda reason: owner.stop())
+guard.install_signal_handlers(owner, lambda reason: owner.stop())
 owner.post(lambda: os.kill(os.getpid(), signal.SIGTERM))
 guard.run(owner)
 os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -23,7 +23,7 @@
     ],
 )
 def test_value(value, text):
-    assert logline.text_of(value) == text
+    assert logline.format_value(value) == text
 
 
 def test_a_line_names_the_process_and_the_event(capfd):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -53,7 +53,7 @@
     assert latency.count == 103
 
 
-@pytest.mark.parametrize("duration", [-5, 0, metrics.LONGEST_MS, 10 * metrics.LONGEST_MS])
+@pytest.mark.parametrize("duration", [-5, 0, metrics.MAX_DURATION_MS, 10 * metrics.MAX_DURATION_MS])
 def test_any_duration_is_taken(duration):
     latency = metrics.Latency()
     latency.record(1, duration)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -52,10 +52,10 @@
 @pytest.fixture
 def addresses(tmp_path):
     """Give the addresses of a balancer, a sidecar and a port where nobody answers."""
-    sidecar = test_answers.make_subject(answers.SIDECAR)
+    sidecar = test_answers.make_process(answers.SIDECAR)
     test_answers.hold_flow(sidecar)
     sidecar.ring.add(500, "opened", flow=test_answers.FLOW, fields=(("service", "s"),))
-    balancer = test_answers.make_subject(answers.BALANCER)
+    balancer = test_answers.make_process(answers.BALANCER)
     balancer.ring.add(600, "configured")
     with answering(balancer) as b, answering(sidecar) as s, socket.socket() as dead:
         dead.bind(("127.0.0.1", 0))
--- a/tests/test_reporting.py
+++ b/tests/test_reporting.py
@@ -12,7 +12,7 @@
 from ebonystile.operator import messages
 from standins import processes
 
-EVENT = re.compile(r"\.(?:trace|event|notice)\(\s*\"(\w+)\"")
+EVENT = re.compile(r"\.(?:trace|event|report_event)\(\s*\"(\w+)\"")
 LOG_ONLY = {"library"}
 """Events of other people's code."""
 
@@ -43,7 +43,7 @@
     assert report.counts == {"fenced": 1, "adopted": 1}
 
 
-@pytest.mark.parametrize("name", sorted(reporting.FLOODABLE))
+@pytest.mark.parametrize("name", sorted(reporting.RATE_LIMITED_EVENTS))
 def test_a_flood_of_rubbish_leaves_the_time_line_to_the_rest(name):
     """Somebody sends rubbish as fast as they can; what happened before must stay visible."""
     report = make()
@@ -75,7 +75,7 @@
 
 def test_a_bug_in_an_answer_reaches_the_asker_and_not_the_owner():
     report = make()
-    report.surroundings = None
+    report.shell_state = None
     future = report.ask(messages.StatusRequest(bytes(16)))
     report.owner.step()
     assert isinstance(future.exception(0), TypeError)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -86,7 +86,7 @@
     )
     job = client.Job(b"r", wires.SERVICE, "r", b"", clock.now() - 1, False)
     with pytest.raises(errors.UpstreamError) as caught:
-        shell.Daemon.hand_over_request(daemon, job)
+        shell.Daemon.run_request(daemon, job)
     assert not caught.value.may_have_run
     assert seen == []
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -54,7 +54,7 @@
 def test_metrics_and_health():
     healthy = [True]
     with serving(healthy=lambda: healthy[0]) as running:
-        assert get(running, "/metrics") == (200, server.METRICS_TYPE, b"a_total 1.0\n")
+        assert get(running, "/metrics") == (200, server.METRICS_CONTENT_TYPE, b"a_total 1.0\n")
         assert get(running, "/healthz")[0] == 200
         healthy[0] = False
         assert get(running, "/healthz")[0] == 503
@@ -186,5 +186,5 @@
 
 def wait_until_accepted(running, number=1):
     deadline = clock.now() + WAIT_MS
-    while len(running.silent) < number:
+    while len(running.silent_connections) < number:
         assert clock.now() < deadline
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -44,7 +44,7 @@
 def test_filter(wanted, taken):
     ring = timeline.make_ring("a", "sidecar", 9, 3)
     held = ring.add(50, "run", flow=b"\x01\x02", request=b"\x07\x08", upstream="u1")
-    assert timeline.Filter(**wanted).takes(held) is taken
+    assert timeline.Filter(**wanted).matches(held) is taken
 
 
 def test_a_receiver_whose_clock_is_behind_comes_after_its_sender():
@@ -70,7 +70,9 @@
         record("b", 1, 5, link=b"y", step=1),
         record("b", 2, 6, link=b"x"),
     ]
-    assert sorted(timeline.merge(records), key=timeline.rank) == sorted(records, key=timeline.rank)
+    assert sorted(timeline.merge(records), key=timeline.sort_key) == sorted(
+        records, key=timeline.sort_key
+    )
 
 
 EVENTS = st.lists(
@@ -91,7 +93,7 @@
         records.append(record(process, sequences[process], clock, link, steps[link]))
         steps[link] += 1
     merged = timeline.merge(reversed(records))
-    assert sorted(merged, key=timeline.rank) == sorted(records, key=timeline.rank)
+    assert sorted(merged, key=timeline.sort_key) == sorted(records, key=timeline.sort_key)
     place = {dataclasses.astuple(r): n for n, r in enumerate(merged)}
     for n, effect in enumerate(records):
         for cause in records[:n]:
--- a/tests/test_tuning.py
+++ b/tests/test_tuning.py
@@ -51,16 +51,16 @@
     running = loop.Loop()
     udp = running.listen(("127.0.0.1", 0), lambda data, source: None)
     receiver = running.receivers[udp]
-    receiver.batch = loop.BATCH
+    receiver.batch = loop.BATCH_DATAGRAMS
     try:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            for _ in range(2 * loop.BATCH):
+            for _ in range(2 * loop.BATCH_DATAGRAMS):
                 sender.sendto(b"x", udp.getsockname())
         running.step()
         time[0] += 70
         running.step()
         assert running.lag(udp) == 70
-        time[0] += loop.FULL_RECENTLY_MS + 1
+        time[0] += loop.RECENTLY_FULL_MS + 1
         assert running.lag(udp) == 0, "the socket fell silent"
     finally:
         running.stop()
