--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -22,8 +22,8 @@
 )
 
 FAN_OUT_MESSAGES_PER_S, FAN_OUT_BURST = 1_000, 300
-"""Rate and burst, in messages, of the second and later rounds of searches, which go to all
-sidecars. Without the limit, searches for open flows after an outage would delay new flows."""
+"""Rate and burst, in messages, of probes and of the queries to all sidecars that follow the first
+round for an open flow. Without the limit, these would delay new flows after an outage."""
 
 UNREACHABLE_TIMEOUT_MS = 800
 """Time in ms without a message from any sidecar, counted from the first unanswered query, after
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -128,9 +128,10 @@
 ) -> bool:
     """Return whether a flow that was not found has ended.
 
-    One search is enough if every sidecar has answered, or if the upstream of the former home has no
-    entry. Otherwise a second search `RETRY_SEARCH_MS` later must also fail: an upstream that holds
-    the flow and left the first probe unanswered acknowledges the second.
+    One search is enough if the upstream of the former home has no entry, or if every sidecar has
+    answered and none has read a newer revision of the store. Otherwise a second search
+    `RETRY_SEARCH_MS` later must also fail: an upstream that holds the flow and left the first probe
+    unanswered acknowledges the second.
     """
     if search.previous_home is not None and not state.fleet.is_listed(
         search.previous_home.upstream
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -14,7 +14,7 @@
 """Upstreams of the own availability zone in the first round; traffic within a zone is free."""
 
 SECOND_ROUND_SIZE = 3
-"""Upstreams in the round after it. The least loaded of three is nearly the least loaded of all
+"""Upstreams in the second round. The least loaded of three is nearly the least loaded of all
 (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001)."""
 
 ZONE_COST = 1.0
