--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,7 +1,6 @@
-"""Run the operators' commands against processes that answer over loopback from real cores.
+"""The operators' commands against a balancer and a sidecar on loopback, with real cores.
 
-The platform's list comes from its stand-in; the processes are a balancer and a sidecar of which
-only the part that answers operators runs.
+Only the part of the processes that answers operators runs; the platform is its stand-in.
 """
 
 import contextlib
@@ -32,16 +31,16 @@
 
 
 @contextlib.contextmanager
-def answering(subject):
-    """Serve operators from a subject; the serving thread stands in for the owner thread."""
+def serve_operators(process):
+    """Answer operators' queries from the state of a process, on the serving thread."""
 
     def ask(question):
         future = futures.Future()
-        future.set_result(answers.answer(question, subject))
+        future.set_result(answers.answer(question, process))
         return future
 
     keys = [settings.Key.model_validate(key) for key in KEYS]
-    handler = daemon_operator.make_handler(keys, subject.identity.incarnation, ask)
+    handler = daemon_operator.make_handler(keys, process.identity.incarnation, ask)
     running = server.serve(("127.0.0.1", 0), {messages.PATH: handler}, lambda: b"")
     try:
         yield running
@@ -51,13 +50,13 @@
 
 @pytest.fixture
 def addresses(tmp_path):
-    """Give the addresses of a balancer, a sidecar and a port where nobody answers."""
+    """Addresses of a balancer, a sidecar and a port without a server."""
     sidecar = test_answers.make_process(answers.SIDECAR)
     test_answers.hold_flow(sidecar)
     sidecar.ring.add(500, "opened", flow=test_answers.FLOW, fields=(("service", "s"),))
     balancer = test_answers.make_process(answers.BALANCER)
     balancer.ring.add(600, "configured")
-    with answering(balancer) as b, answering(sidecar) as s, socket.socket() as dead:
+    with serve_operators(balancer) as b, serve_operators(sidecar) as s, socket.socket() as dead:
         dead.bind(("127.0.0.1", 0))
         yield {"balancer": b.address, "sidecar": s.address, "dead": dead.getsockname()}
 
@@ -74,7 +73,7 @@
 
 @pytest.fixture
 def options(tmp_path, addresses):
-    """Options that name the three processes without a platform."""
+    """Options that select the three processes without a platform."""
     path = write(
         tmp_path, "op.json", {"processes": [address_text(addresses["balancer"])], "keys": KEYS}
     )
@@ -82,7 +81,7 @@
     return ["--settings", path, *named]
 
 
-def test_status_shows_all_and_those_that_do_not_answer(options):
+def test_status_shows_all_processes_and_marks_unreachable_ones(options):
     result = run("status", *options)
     assert result.exit_code == 0, result.output
     lines = result.output.splitlines()
@@ -113,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "status", "told"),
+    ("arguments", "status", "message"),
     [
         (["status"], 2, "Missing option '--settings'"),
         (["status", "--settings", "none"], 2, "none: No such file"),
@@ -123,22 +122,22 @@
         (["nonsense"], 2, "No such command"),
     ],
 )
-def test_a_wrong_command_line_is_told_in_a_line(options, arguments, status, told):
-    settings_option = [] if "--settings" in arguments or "Missing" in told else options
+def test_a_wrong_command_line_gives_a_message_and_status_2(options, arguments, status, message):
+    settings_option = [] if "--settings" in arguments or "Missing" in message else options
     result = run(*arguments, *settings_option)
     assert result.exit_code == status
-    assert told in result.output and "Traceback" not in result.output
+    assert message in result.output and "Traceback" not in result.output
 
 
-def test_a_foreign_key_gets_no_answer(tmp_path, addresses):
+def test_a_query_signed_with_another_key_gets_no_answer(tmp_path, addresses):
     path = write(tmp_path, "op.json", {"processes": ["127.0.0.1:1"], "keys": OTHER_KEYS})
     result = run("status", "--settings", path, "--process", address_text(addresses["sidecar"]))
     assert result.exit_code == 1
     assert "none of 1 processes answered" in result.output
 
 
-def test_processes_come_from_the_platform_or_else_from_a_process(tmp_path, addresses, children):
-    """The platform lists the processes; then it is down, and a process names the others."""
+def test_processes_are_listed_by_the_platform_or_else_by_a_process(tmp_path, addresses, children):
+    """With the platform down, the processes are discovered from the answer of one of them."""
     platform = children.start_platform()
     for name, role in (("b1", "balancer"), ("u1", "upstream")):
         address = address_text(addresses["balancer" if role == "balancer" else "sidecar"])
@@ -164,7 +163,7 @@
 
 
 def test_preview_shows_what_a_selector_would_match_and_move(tmp_path, addresses, children):
-    """The selector is narrowed: u1 with its flow and u2 would leave the service."""
+    """A narrowed selector removes u1, which holds a flow, and u2 from the service."""
     platform = children.start_platform()
     processes.publish_value(platform, "services/main", SERVICES)
     processes.publish_value(platform, "labels/main", LABELS)
@@ -194,9 +193,9 @@
     labels = write(tmp_path / "now", "all.json", LABELS)
     listed = write(tmp_path, "instances.json", INSTANCES)
     change = write(tmp_path, "main.json", {"services": {}})
-    stranger = write(tmp_path, "all.json", {"instances": {**LABELS["instances"], "u9": {}}})
+    unlisted = write(tmp_path, "all.json", {"instances": {**LABELS["instances"], "u9": {}}})
     arguments = ["--present", present, "--present", labels, "--instances", listed, "--no-flows"]
-    result = run("preview", change, stranger, *arguments, *options)
+    result = run("preview", change, unlisted, *arguments, *options)
     assert result.exit_code == 0, result.output
     assert "3 -> absent" in result.output
     assert "warning: s: the service is removed; its flows end" in result.output
@@ -217,8 +216,8 @@
     third = write(tmp_path, "c.json", {"nothing": "known"})
     result = run("check", first, second, third, tmp_path / "none")
     assert result.exit_code == 2
-    for told in ("a.json: zone: ", "a.json: listn: ", "b.json: services.s.", "c.json: holds no"):
-        assert told in result.output
+    for message in ("a.json: zone: ", "a.json: listn: ", "b.json: services.s.", "c.json: holds no"):
+        assert message in result.output
     assert "none: No such file" in result.output
 
 
--- a/tests/test_operator_system.py
+++ b/tests/test_operator_system.py
@@ -1,4 +1,4 @@
-"""Look at a running system as an operator does: real processes, one command after the other."""
+"""The operators' commands against a running system of real processes."""
 
 import json
 import time
@@ -21,7 +21,7 @@
 REQUEST_MS = 4_000
 SHORT_DRAIN = {"drain_ms": 5_000, "max_deadline_ms": 5_000}
 PROCESSES = {"line-0", "line-1", "entry-0", "entry-1"}
-IN_ORDER = ["opened", "entered", "started", "answered", "fenced", "adopted", "handed_over"]
+EXPECTED_ORDER = ["opened", "entered", "started", "answered", "fenced", "adopted", "handed_over"]
 
 
 @pytest.fixture(scope="module")
@@ -52,26 +52,26 @@
 
 
 def wait_for(condition):
-    """Return what `condition` returns once that is true; it must become so in bounded time."""
-    give_up = clock.now() + WAIT_MS
-    while clock.now() < give_up:
-        found = condition()
-        if found:
-            return found
+    """Wait until `condition` returns a true value and return it; fail after `WAIT_MS`."""
+    deadline = clock.now() + WAIT_MS
+    while clock.now() < deadline:
+        result = condition()
+        if result:
+            return result
         time.sleep(0.05)
-    raise AssertionError("it did not come about in time")
+    raise AssertionError("condition not met in time")
 
 
 def status_of(running):
     return {p["process"]: p for p in json.loads(run(running, "status", "--json"))}
 
 
-def explained(running, flow):
+def explain_flow(running, flow):
     return json.loads(run(running, "explain", SERVICE, flow.core.flow.hex(), "--json"))
 
 
 def holders_of(running, flow):
-    return {h["process"]: h for h in explained(running, flow)["holders"]}
+    return {h["process"]: h for h in explain_flow(running, flow)["holders"]}
 
 
 @given("a line-status service of two upstreams behind two balancers")
@@ -129,11 +129,11 @@
 @then("explain names the other upstream as the new home")
 def _(running, flow, home):
     def moved():
-        # Processes are asked side by side: the new home may have answered just before it took the
-        # flow, and the old one just after it gave it up. Then nobody says yet where it lives.
+        # Processes are queried in parallel: the new home may answer just before it adopts the
+        # flow, and the old one just after it has handed it over. Then no answer shows the home.
         holders = holders_of(running, flow)
-        gone = holders[home]["holds"] == "moved" and holders[home]["target"] in holders
-        return holders if gone else None
+        has_moved = holders[home]["holds"] == "moved" and holders[home]["target"] in holders
+        return holders if has_moved else None
 
     holders = wait_for(moved)
     target = holders[home]["target"]
@@ -147,11 +147,11 @@
 
 @then("the time line of the flow is in the order of cause and effect")
 def _(running, flow, home):
-    whole = flow.core.flow.hex()
-    lines = run(running, "timeline", "--flow", whole[:12], "--json").splitlines()
+    flow_id = flow.core.flow.hex()
+    lines = run(running, "timeline", "--flow", flow_id[:12], "--json").splitlines()
     records = [json.loads(line) for line in lines]
-    assert {r["flow"] for r in records} == {whole}
-    assert [r["event"] for r in records if r["event"] in IN_ORDER] == IN_ORDER
+    assert {r["flow"] for r in records} == {flow_id}
+    assert [r["event"] for r in records if r["event"] in EXPECTED_ORDER] == EXPECTED_ORDER
     [request] = {r["request"] for r in records if r["event"] == "answered"}
     shown = run(running, "timeline", "--request", request, "--upstream", home)
     assert "answered" in shown and "adopted" not in shown
@@ -159,21 +159,21 @@
 
 @then("status shows each fault of it")
 def _(running):
-    def refusing():
-        found = status_of(running)["entry-0"]
-        return found["refusals"]
+    def refusals():
+        status = status_of(running)["entry-0"]
+        return status["refusals"]
 
-    faults = wait_for(refusing)
+    faults = wait_for(refusals)
     assert all("services/00" in fault for fault in faults)
     assert any("address" in f for f in faults) and any("selector" in f for f in faults)
 
 
 @then("the older document stays in force")
 def _(running, flow):
-    assert explained(running, flow)["ranking"]
+    assert explain_flow(running, flow)["ranking"]
 
 
-def test_metrics_tell_what_was_done(running):
+def test_every_process_serves_its_metrics(running):
     for process in status_of(running).values():
         url = f"http://{process['address']}/metrics"
         text = system.HTTP.request("GET", url).data.decode()
@@ -182,7 +182,7 @@
         assert ("# TYPE ebonystile_run_seconds summary" in text) == (process["role"] == "sidecar")
 
 
-def test_a_taken_address_ends_the_second_process_with_status_1(running):
+def test_an_address_in_use_ends_the_second_process_with_status_1(running):
     [balancer, _] = running.balancers.values()
     path = running.settings("twin", balancer.port, ZONE, listen=f"127.0.0.1:{system.free_port()}")
     module = "ebonystile.commands.balancer"
@@ -194,7 +194,7 @@
 
 
 def test_a_second_sigterm_changes_nothing(running):
-    """A balancer gets SIGTERM twice while a caller still sends: it ends by itself, with 0."""
+    """A balancer that gets SIGTERM twice while a caller still sends exits with status 0."""
     balancer = running.balancers.pop("entry-1")
     balancer.child.signal(15)
     balancer.child.signal(15)
