--- a/benches/control.py
+++ b/benches/control.py
@@ -178,7 +178,7 @@
 def flow_costs(count: int) -> dict[str, float]:
     """Open `count` flows at one sidecar core; return bytes held and times in microseconds."""
     rng = random.Random(1)
-    limits = sidecar_state.Limits(flows=count + 1, flow_lease=3_600_000)
+    limits = sidecar_state.Limits(max_flows=count + 1, flow_lease_ms=3_600_000)
     home = sidecar.make_sidecar("line-1", 7, limits, rng, fleet.START)
     upstream = view.make_endpoint("line-1", ("10.0.0.1", 7000), "umea")
     shown = view.make_view(1, [view.make_service("line", "10.1.0.1:443", [upstream])])
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -46,7 +46,7 @@
         feed.acknowledged = message.position
         feed.sent = max(feed.sent, message.position)
         feed.resends = 0
-        feed.resend_at = now + state.limits.feed_resend
+        feed.resend_at = now + state.limits.feed_resend_ms
         widen_window(state, feed)
     deliver(state, flow, feed, now)
 
@@ -73,7 +73,7 @@
         if body is None:
             break
         if feed.sent == feed.acknowledged:
-            feed.resend_at = now + state.limits.feed_resend
+            feed.resend_at = now + state.limits.feed_resend_ms
         feed.sent += 1
         state.send_to_flow(flow, messages.FeedEvent(flow.id, feed.request, feed.sent, body))
 
@@ -84,7 +84,7 @@
     if source is None:
         return
     source.polling = False
-    source.poll_at = now if event.events else now + state.limits.feed_poll // 10
+    source.poll_at = now if event.events else now + state.limits.feed_poll_ms // 10
     for position, body in event.events:
         source.events[position] = body
         source.newest = max(source.newest, position)
@@ -116,7 +116,7 @@
     source = state.sources.get(event.path)
     if source is not None:
         source.polling = False
-        source.poll_at = now + state.limits.feed_poll
+        source.poll_at = now + state.limits.feed_poll_ms
         state.trace("feed_failed", path=event.path, reason=event.reason)
 
 
@@ -178,4 +178,4 @@
             feed.window = 1
             deliver(state, flow, feed, now)
             backoff = min(feed.resends, 8)
-            feed.resend_at = now + state.limits.feed_resend * (1 + backoff)
+            feed.resend_at = now + state.limits.feed_resend_ms * (1 + backoff)
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -55,7 +55,7 @@
     records = state.ledger.of_flow(flow.id)
     if any(entry.state in ledger.PENDING for entry in records):
         return
-    if sum(len(entry.body) for entry in records) > state.limits.transfer_bytes:
+    if sum(len(entry.body) for entry in records) > state.limits.max_transfer_bytes:
         # Too large for a transfer until callers have fetched their answers.
         extend_stay(state, flow, now)
         return
@@ -71,7 +71,7 @@
     flow.handover = flows.Handover(
         state.randomness.randbytes(TRANSFER_ID_BYTES),
         target,
-        now + state.limits.handover_deadline,
+        now + state.limits.handover_timeout_ms,
     )
     state.trace("fenced", flow.id, target=target.name, transfer=flow.handover.id)
     send_transfer(state, flow, now)
@@ -84,8 +84,8 @@
     lease, a flow whose caller has exited without closing it would keep this sidecar running until
     its supervisor kills it.
     """
-    flow.move_at = now + state.limits.successor_retry
-    flow.lease_until = min(flow.lease_until, now + state.limits.waiting_lease)
+    flow.move_at = now + state.limits.successor_retry_ms
+    flow.lease_until = min(flow.lease_until, now + state.limits.waiting_lease_ms)
     if now - flow.lease_sent_at >= LEASE_RESEND_MS:
         flow.lease_sent_at = now
         send_moved(state, flow)
@@ -117,7 +117,7 @@
     """Send the flow to its target, or first a query for the target's incarnation."""
     handover = flow.handover
     if handover.deadline <= now and not handover.committed:
-        handover.deadline = now + state.limits.handover_deadline
+        handover.deadline = now + state.limits.handover_timeout_ms
     if handover.incarnation:
         handover.committed = True
     handover.in_flight = True
@@ -183,7 +183,7 @@
         else:
             # A new id, so that a late reply to the query does not match the transfer itself.
             handover.id = state.randomness.randbytes(TRANSFER_ID_BYTES)
-            handover.deadline = now + state.limits.handover_deadline
+            handover.deadline = now + state.limits.handover_timeout_ms
             send_transfer(state, flow, now)
     elif event.reply.incarnation != handover.incarnation:
         # The target has restarted: it is unknown what its former incarnation ran of the flow.
@@ -245,7 +245,7 @@
     flow.handover = flows.Handover(
         state.randomness.randbytes(TRANSFER_ID_BYTES),
         target,
-        now + state.limits.handover_deadline,
+        now + state.limits.handover_timeout_ms,
         refused_by=handover.refused_by,
     )
 
@@ -258,7 +258,7 @@
     flow.handover.in_flight = False
     state.trace("handover_failed", flow.id, reason=event.reason)
     if flow.handover.committed:
-        flow.handover.retry_at = now + state.limits.handover_retry
+        flow.handover.retry_at = now + state.limits.handover_retry_ms
     else:
         try_next_target(state, flow, now)
 
@@ -293,7 +293,7 @@
     if not state.can_start(message.service):
         return state.leaving_reason or "does not serve the service now"
     known = state.flows.get(message.flow)
-    if known is None and len(state.flows) >= state.limits.flows:
+    if known is None and len(state.flows) >= state.limits.max_flows:
         return "the flow limit is reached"
     if known is not None and known.handover is not None and not is_returning(known, message):
         # This sidecar's own transfer may still be accepted elsewhere, so the flow stays fenced.
@@ -324,7 +324,7 @@
         view.Token(state.key, incarnation, view.key_of(message.service)).pack(),
         tuple(message.caller),
         tuple(message.via),
-        now + state.limits.flow_lease,
+        now + state.limits.flow_lease_ms,
         flows.merge_incarnations(message.answers_for, (incarnation,)),
         message.forgotten_before,
         message.barred_before,
@@ -379,11 +379,11 @@
     """Forget the replies to old transfers.
 
     A refused transfer is refused after its deadline anyway. An accepted one is kept for
-    `transfer_memory` longer: an old home that was partitioned or whose clock lags may still retry,
-    and a refusal would make it hand the flow to another sidecar, which would be a second home.
+    `transfer_memory_ms` longer: an old home that was partitioned or whose clock lags may still
+    retry, and a refusal would make it hand the flow to another sidecar, a second home.
     """
     remove_expired(state.refused_transfers, now)
-    remove_expired(state.accepted_transfers, now - state.limits.transfer_memory)
+    remove_expired(state.accepted_transfers, now - state.limits.transfer_memory_ms)
 
 
 def remove_expired(transfers: dict[bytes, int], before: int) -> None:
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -125,7 +125,7 @@
     """
 
     slots: int = 2
-    queue: int = 16
+    max_queued: int = 16
     order: Order = Order.FIFO
     adaptive: bool = True
     min_retry_ms: int = 50
@@ -168,7 +168,7 @@
         if self.free_slots > 0 and not self.queue:
             self.running[key] = Started(service, now, now)
             return Run()
-        if len(self.queue) >= self.limits.queue:
+        if len(self.queue) >= self.limits.max_queued:
             return self.refuse("queue full", now, randomness)
         waiting = QueuedRequest(self.rank(deadline), key, service, deadline, now)
         place = bisect.bisect(self.queue, waiting)
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -37,7 +37,11 @@
         state.trace("passed", message.flow, target=chosen.name)
         state.forward_to(chosen, forward)
         return
-    if flow is None and state.can_start(message.service) and len(state.flows) < state.limits.flows:
+    if (
+        flow is None
+        and state.can_start(message.service)
+        and len(state.flows) < state.limits.max_flows
+    ):
         send_opened(state, accept_flow(state, forward, message, now), message.attempt)
         return
     if not state.forward_to_next(forward, message.flow, message.service):
@@ -61,7 +65,7 @@
         view.Token(state.key, incarnation, view.key_of(message.service)).pack(),
         forward.caller,
         forward.via,
-        now + state.limits.flow_lease,
+        now + state.limits.flow_lease_ms,
         (incarnation,),
     )
     state.flows[flow.id] = flow
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -50,7 +50,7 @@
     if entry is None and state.ledger.is_full:
         flow.barred_before = max(flow.barred_before, deadline)
     elif entry is None:
-        keep_until = max(deadline, now) + state.limits.ledger_margin
+        keep_until = max(deadline, now) + state.limits.ledger_margin_ms
         entry = ledger.make_tombstone(flow.id, request, flow.service, deadline, keep_until)
         state.ledger.add(entry)
     if entry is not None:
@@ -106,7 +106,7 @@
     reason = refusal_reason(state, flow, message, now)
     if verdict is ledger.RequestState.NOT_RUN:
         reason = "refused while the ledger was full"
-    if message.deadline > now + state.limits.max_deadline:
+    if message.deadline > now + state.limits.max_deadline_ms:
         # `NotRun` needs a tombstone kept until the deadline, which has no bound here. So the
         # request is not run and its outcome is reported as unknown.
         send_unknown(state, flow, message.request, "the deadline is too far away", now)
@@ -123,7 +123,7 @@
         message.idempotent,
         message.parts,
         ledger.RequestState.RECEIVING,
-        message.deadline + state.limits.ledger_margin,
+        message.deadline + state.limits.ledger_margin_ms,
     )
     state.ledger.add(entry)
     return entry
@@ -145,9 +145,9 @@
         return "the ledger is full"
     if not 0 < message.parts <= messages.MAX_PARTS:
         return "the number of parts is out of bounds"
-    if state.upload_bytes > state.limits.upload_bytes:
+    if state.upload_bytes > state.limits.max_upload_bytes:
         return "too many uploads are under way"
-    if state.ledger.answer_bytes > state.limits.answers_bytes:
+    if state.ledger.answer_bytes > state.limits.max_stored_answer_bytes:
         return "too many answers wait for their callers"
     return ""
 
@@ -270,14 +270,14 @@
         return
     state.slots.finish(entry.key, limits.Outcome.DONE, now)
     siblings.record_result(state, True, now)
-    if len(event.body) > state.limits.answer_bytes:
+    if len(event.body) > state.limits.max_answer_bytes:
         record_failure(state, entry, "the answer is too large", True, 0, now)
     else:
         entry.state = ledger.RequestState.ANSWERED
         answer = state.randomness.randbytes(ANSWER_ID_BYTES)
         state.ledger.hold_answer(entry, answer, event.body)
         entry.status = event.status
-        entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin)
+        entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin_ms)
         state.trace("answered", entry.flow, entry.request, status=event.status)
         flow = state.flows.get(entry.flow)
         if flow is not None:
@@ -308,7 +308,7 @@
     now: int,
 ) -> None:
     """Record the outcome of a request that got no answer, and report it to the caller."""
-    entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin)
+    entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin_ms)
     if not may_have_run:
         entry.state = ledger.RequestState.NOT_RUN
         entry.reason = reason
@@ -424,7 +424,7 @@
         and unrecorded_outcome(state, flow, message.deadline) is ledger.RequestState.UNKNOWN
     ):
         send_unknown(state, flow, message.request, "its record may have been dropped", now)
-    elif entry is None and message.deadline > now + state.limits.max_deadline:
+    elif entry is None and message.deadline > now + state.limits.max_deadline_ms:
         send_unknown(state, flow, message.request, "the deadline is too far away", now)
     elif entry is None or entry.state is ledger.RequestState.RECEIVING:
         deadline = message.deadline if entry is None else entry.deadline
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -18,7 +18,7 @@
     )
     return dataclasses.replace(
         report,
-        connections=state.limits.flows,
+        connections=state.limits.max_flows,
         leaving=bool(state.leaving_reason) or not state.is_caught_up,
     )
 
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -55,7 +55,7 @@
     request would reach the wrong one. Ticks come at least every `events.TICK_MS`, so a long gap
     between events means a pause; `ViewChanged` ends this state.
     """
-    if now - state.last_event_at > state.limits.pause_bound and state.is_caught_up:
+    if now - state.last_event_at > state.limits.max_pause_ms and state.is_caught_up:
         state.is_caught_up = False
         state.trace("woke", gap=now - state.last_event_at)
     state.last_event_at = max(state.last_event_at, now)
@@ -221,7 +221,7 @@
     else:
         flow.caller = forward.caller
         flow.via = forward.via
-        flow.lease_until = now + state.limits.flow_lease
+        flow.lease_until = now + state.limits.flow_lease_ms
         on_message(message, state, flow, now)
         if flow.token != message.token:
             handover.send_moved(state, flow)
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -17,31 +17,31 @@
 class Limits:
     """The limits of one sidecar. Times are in ms, sizes in bytes.
 
-    A flow that must move and that no sibling accepts is offered again every `successor_retry`, and
-    its lease is shortened to `waiting_lease`. That leaves time for three heartbeats, and is well
-    below the 30 s after which common supervisors kill a process.
+    A flow that must move and that no sibling accepts is offered again every `successor_retry_ms`,
+    and its lease is shortened to `waiting_lease_ms`. That leaves time for three heartbeats, and is
+    well below the 30 s after which common supervisors kill a process.
     """
 
     slots: int = 2
-    queue: int = 64
-    flows: int = 2_000
-    ledger: int = 50_000
-    upload_bytes: int = 64 << 20
-    answer_bytes: int = 19 << 20
-    answers_bytes: int = 256 << 20
-    flow_lease: int = 300_000
-    ledger_margin: int = 5_000
-    max_deadline: int = 600_000
+    max_queued: int = 64
+    max_flows: int = 2_000
+    max_records: int = 50_000
+    max_upload_bytes: int = 64 << 20
+    max_answer_bytes: int = 19 << 20
+    max_stored_answer_bytes: int = 256 << 20
+    flow_lease_ms: int = 300_000
+    ledger_margin_ms: int = 5_000
+    max_deadline_ms: int = 600_000
     feed_window: int = 32
-    feed_resend: int = 300
-    feed_poll: int = 1_000
-    handover_retry: int = 250
-    handover_deadline: int = 20_000
-    successor_retry: int = 1_000
-    waiting_lease: int = 10_000
-    transfer_memory: int = 600_000
-    transfer_bytes: int = 1_500_000
-    pause_bound: int = 3_000
+    feed_resend_ms: int = 300
+    feed_poll_ms: int = 1_000
+    handover_retry_ms: int = 250
+    handover_timeout_ms: int = 20_000
+    successor_retry_ms: int = 1_000
+    waiting_lease_ms: int = 10_000
+    transfer_memory_ms: int = 600_000
+    max_transfer_bytes: int = 1_500_000
+    max_pause_ms: int = 3_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -83,8 +83,8 @@
         self.view = view.EMPTY
         self.served_services: frozenset[str] = frozenset()
         self.flows: dict[bytes, flows.Flow] = {}
-        self.ledger = ledger.Ledger(limits.ledger, limits.ledger_margin)
-        self.slots = balance.make_limiter(policy, limits.slots, limits.queue)
+        self.ledger = ledger.Ledger(limits.max_records, limits.ledger_margin_ms)
+        self.slots = balance.make_limiter(policy, limits.slots, limits.max_queued)
         self.balance = balance.LoadState(policy, now)
         self.sources: dict[str, FeedSource] = {}
         self.upload_bytes = 0
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -366,14 +366,14 @@
     """Return the core's bounds as the settings give them."""
     return sidecar_state.Limits(
         slots=config.slots,
-        queue=config.queue_limit,
-        flows=config.flow_limit,
-        ledger=config.ledger_limit,
-        upload_bytes=config.ledger_bytes_limit,
-        answers_bytes=config.ledger_bytes_limit,
-        flow_lease=config.flow_lease_ms,
-        ledger_margin=config.ledger_margin_ms,
-        max_deadline=config.max_deadline_ms,
+        max_queued=config.queue_limit,
+        max_flows=config.flow_limit,
+        max_records=config.ledger_limit,
+        max_upload_bytes=config.ledger_bytes_limit,
+        max_stored_answer_bytes=config.ledger_bytes_limit,
+        flow_lease_ms=config.flow_lease_ms,
+        ledger_margin_ms=config.ledger_margin_ms,
+        max_deadline_ms=config.max_deadline_ms,
     )
 
 
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -72,7 +72,7 @@
     receiving = sum(len(p) for e in entries for p in e.parts.values())
     if receiving != core.upload_bytes:
         checks.fault(f"{name}: {core.upload_bytes} bytes counted, {receiving} held")
-    if len(core.flows) > core.limits.flows or len(entries) > core.limits.ledger:
+    if len(core.flows) > core.limits.max_flows or len(entries) > core.limits.max_records:
         checks.fault(f"{name}: a table is beyond its bound")
     if len(core.sources) > 8:
         checks.fault(f"{name}: too many feeds are polled")
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -22,15 +22,15 @@
 
 LIMITS = {
     "slots": 2,
-    "queue": 8,
-    "ledger": 200,
-    "ledger_margin": 500,
-    "max_deadline": 8_000,
-    "flow_lease": 40_000,
-    "handover_deadline": 2_000,
-    "handover_retry": 100,
-    "pause_bound": 1_000,
-    "feed_resend": 150,
+    "max_queued": 8,
+    "max_records": 200,
+    "ledger_margin_ms": 500,
+    "max_deadline_ms": 8_000,
+    "flow_lease_ms": 40_000,
+    "handover_timeout_ms": 2_000,
+    "handover_retry_ms": 100,
+    "max_pause_ms": 1_000,
+    "feed_resend_ms": 150,
 }
 ACTIVE_MS = 5_500
 SETTLE_MS = 2_500
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -102,8 +102,8 @@
     Mutation(
         "record kept until a margin after its deadline",
         CORE + "calls/requests.py",
-        "message.deadline + state.limits.ledger_margin,\n    )\n    state.ledger.add(entry)",
-        "now + state.limits.ledger_margin,\n    )\n    state.ledger.add(entry)",
+        "message.deadline + state.limits.ledger_margin_ms,\n    )\n    state.ledger.add(entry)",
+        "now + state.limits.ledger_margin_ms,\n    )\n    state.ledger.add(entry)",
     ),
     Mutation(
         "forgotten_before of the ledger",
@@ -132,7 +132,7 @@
     Mutation(
         "limit on how far away a deadline is",
         CORE + "calls/requests.py",
-        "    if message.deadline > now + state.limits.max_deadline:\n        # `NotRun`",
+        "    if message.deadline > now + state.limits.max_deadline_ms:\n        # `NotRun`",
         "    if False:\n        # `NotRun`",
     ),
     Mutation(
@@ -168,7 +168,7 @@
     Mutation(
         "new work refused after a pause",
         CORE + "calls/sidecar.py",
-        "if now - state.last_event_at > state.limits.pause_bound and state.is_caught_up:",
+        "if now - state.last_event_at > state.limits.max_pause_ms and state.is_caught_up:",
         "if False:",
     ),
     Mutation(
@@ -222,7 +222,7 @@
     Mutation(
         "accepted transfers remembered",
         CORE + "calls/handover.py",
-        "remove_expired(state.accepted_transfers, now - state.limits.transfer_memory)",
+        "remove_expired(state.accepted_transfers, now - state.limits.transfer_memory_ms)",
         "remove_expired(state.accepted_transfers, now)",
     ),
     Mutation(
@@ -264,7 +264,7 @@
     Mutation(
         "lease shortened while no sibling takes a flow",
         CORE + "calls/handover.py",
-        "    flow.lease_until = min(flow.lease_until, now + state.limits.waiting_lease)\n",
+        "    flow.lease_until = min(flow.lease_until, now + state.limits.waiting_lease_ms)\n",
         "",
     ),
     Mutation(
@@ -384,7 +384,7 @@
     Mutation(
         "large answer delivered before the flow moves",
         CORE + "calls/handover.py",
-        "    if sum(len(entry.body) for entry in records) > state.limits.transfer_bytes:\n",
+        "    if sum(len(entry.body) for entry in records) > state.limits.max_transfer_bytes:\n",
         "    if False:\n",
     ),
     Mutation(
--- a/tests/test_call.py
+++ b/tests/test_call.py
@@ -47,7 +47,7 @@
 
 def test_flow_whose_lease_has_ended_is_opened_anew_before_a_request_needs_it():
     """After a pause of the caller longer than the lease, a request must not end as unknown."""
-    wire = wires.make_service(count=2, flow_lease=3_000)
+    wire = wires.make_service(count=2, flow_lease_ms=3_000)
     caller = wire.add_caller()
     wire.run(200)
     paused = dict(wire.callers)
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -93,7 +93,7 @@
 
     The caller reopens the flow: its feed goes on and its next request is answered.
     """
-    wire = wires.make_service(count=3, handover_deadline=2_000)
+    wire = wires.make_service(count=3, handover_timeout_ms=2_000)
     caller = wire.add_caller()
     feed = caller.subscribe("spans", 900, wire.now)
     wire.run(500)
@@ -123,7 +123,7 @@
 
     The old home would hand the flow to a third sidecar, and two homes would run its requests.
     """
-    wire = wires.make_service(count=3, seed=seed, handover_deadline=2_000)
+    wire = wires.make_service(count=3, seed=seed, handover_timeout_ms=2_000)
     caller = wire.add_caller()
     wire.run(200)
     old = home_of(wire, caller)
@@ -203,7 +203,7 @@
     The caller receives it from the old home, later than the handover's deadline; then the flow
     moves.
     """
-    wire = wires.make_service(count=2, handover_deadline=1_000)
+    wire = wires.make_service(count=2, handover_timeout_ms=1_000)
     lost_until = wires.START + 4_000
     wire.message_delays = lambda _s, _t, k: (
         [] if k == "AnswerPart" and wire.now < lost_until else [1]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,7 +26,7 @@
 
 
 def test_slots_then_queue_then_refusal():
-    limiter = make_limiter(slots=2, queue=1)
+    limiter = make_limiter(slots=2, max_queued=1)
     kinds = [type(admit(limiter, bytes([i]), 10**6, 0)) for i in range(4)]
     assert kinds == [limits.Run, limits.Run, limits.Queue, limits.Refuse]
 
@@ -71,7 +71,7 @@
 
 
 def test_cancellation_frees_slot_and_place():
-    limiter = make_limiter(slots=1, queue=1)
+    limiter = make_limiter(slots=1, max_queued=1)
     admit(limiter, b"a", 9000, 0)
     admit(limiter, b"b", 9000, 0)
     assert limiter.cancel(b"b")
@@ -87,7 +87,7 @@
 
     The upstream completes 20 requests per second; the retry times of 100 callers match that rate.
     """
-    limiter = limiter_with_estimate(100, slots=2, queue=0)
+    limiter = limiter_with_estimate(100, slots=2, max_queued=0)
     admit(limiter, b"a", 10**6, 1000)
     admit(limiter, b"b", 10**6, 1000)
     times = [admit(limiter, bytes([i]), 10**6, 1000).retry_at for i in range(100)]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -144,7 +144,7 @@
 
 def test_an_idle_flow_outlives_its_lease():
     """Lost heartbeats must not end an idle flow within several leases."""
-    wire = wires.make_service(flow_lease=9_000)
+    wire = wires.make_service(flow_lease_ms=9_000)
     caller = wire.add_caller()
     wire.run(500)
     flow = caller.flow
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -129,7 +129,7 @@
 
 def test_full_ledger_refuses_for_good_without_room_for_a_tombstone():
     """A late copy of a request refused with a full ledger must not run once there is room."""
-    harness = SidecarHarness(ledger=3, ledger_margin=100)
+    harness = SidecarHarness(max_records=3, ledger_margin_ms=100)
     token = harness.open()
     for number in range(3):
         harness.send_request(token, b"%d" % number, NOW + 1_000, NOW)
@@ -222,7 +222,7 @@
     """During a pause of the process its upstream may have been assigned to another service."""
     harness = SidecarHarness()
     token = harness.open()
-    woken = NOW + harness.core.limits.pause_bound + 1_000
+    woken = NOW + harness.core.limits.max_pause_ms + 1_000
     assert message_names(harness.send_request(token, b"r", woken + 9_000, woken)) == ["NotRun"]
     assert harness.started_requests == []
     harness.post(events.ViewChanged(harness.core.view), woken + 10)
@@ -331,11 +331,11 @@
     """An old home whose clock lags must not get a refusal and hand the flow to a third sidecar."""
     harness = SidecarHarness()
     assert reply_of(harness, transfer_to(harness)).accepted
-    late = NOW + 20_000 + harness.core.limits.transfer_memory // 2
+    late = NOW + 20_000 + harness.core.limits.transfer_memory_ms // 2
     harness.core.flows.clear()
     harness.tick(late)
     assert reply_of(harness, transfer_to(harness), late).accepted
-    harness.tick(late + harness.core.limits.transfer_memory)
+    harness.tick(late + harness.core.limits.transfer_memory_ms)
     assert not harness.core.accepted_transfers
 
 
