--- a/src/ebonystile/operator/carried.py
+++ b/src/ebonystile/operator/carried.py
@@ -14,16 +14,16 @@
     "opened": "It was placed on {upstream} at cost {cost}: {answered} of {asked} sidecars answered "
     "within {searched_ms} ms (copy {copy} of the opening packet, configuration {version}).",
     "not_placed": "It was not placed: {answered} of {asked} sidecars answered within "
-    "{searched_ms} ms, and none of them could accept it (caller reset: {reset}).",
+    "{searched_ms} ms, and none of them could accept it (reset sent: {reset}).",
     "open_refused": "A sidecar refused it: {reason}.",
     "open_returned": "Its upstream was full and returned the opening packet.",
     "found": "A balancer without a record of it found it at {upstream} after {searched_ms} ms.",
-    "probed": "No sidecar that answered held it; {upstreams} upstreams were probed, "
-    "{unanswered} sidecars did not answer.",
+    "probed": "No sidecar that answered held it; {upstreams} upstreams of recently started "
+    "sidecars were probed, {unanswered} sidecars did not answer.",
     "not_found": "It was not found: {answered} of {asked} sidecars answered within "
-    "{searched_ms} ms, and none of them held it (caller reset: {reset}).",
-    "flow_reset": "The caller was reset: {reason}.",
-    "flow_lost": "Its upstream no longer holds it; the caller was reset.",
+    "{searched_ms} ms (reset sent: {reset}).",
+    "flow_reset": "A reset was sent to its caller: {reason}.",
+    "flow_lost": "Its upstream no longer holds it; a reset was sent to its caller.",
 }
 """Templates that describe what an event means for its flow, with the inputs of the decision."""
 
--- a/src/ebonystile/operator/causes.py
+++ b/src/ebonystile/operator/causes.py
@@ -17,10 +17,10 @@
 class Cause(enum.Enum):
     """Why the caller of a flow had to wait or was not served."""
 
-    LOST_RESET = "lost, caller reset"
-    LOST_NO_RESET = "lost or idle, caller not reset"
+    LOST_RESET = "lost, reset sent"
+    LOST_NO_RESET = "lost or idle, no reset sent"
     FOUND_LATE = "found after a failed search"
-    UPSTREAM_LOST = "upstream lost it, caller reset"
+    UPSTREAM_LOST = "upstream lost it, reset sent"
     NO_ROUTE = "no route"
     NO_UPSTREAM = "no upstream accepted it"
     REFUSED = "refused once, then placed"
