--- a/src/ebonystile/core/calls/call.py
+++ b/src/ebonystile/core/calls/call.py
@@ -15,7 +15,7 @@
 """Longest interval between two resends, in ms; the first is `progress.FIRST_RESEND_MS`."""
 
 SETTLE_GRACE_MS = 2_000
-"""Time after its deadline in which the outcome of a request is still asked for, in ms."""
+"""Time after its deadline in which a request without an outcome is settled, in ms."""
 
 HEARTBEATS_PER_LEASE = 3
 """The next heartbeat is sent after the remaining lease divided by this number.
@@ -172,10 +172,10 @@
         self.heartbeat_at = now + min(max(wait, MIN_HEARTBEAT_MS), MAX_HEARTBEAT_MS)
 
     def check_home_timeout(self, now: int) -> None:
-        """Reopen the flow if its home is silent, unless a pending request might then run twice.
+        """Reopen the flow if its home is unresponsive and no pending request might run twice.
 
-        After a pause of the caller itself the silence is counted anew, since answers may still
-        wait in its socket.
+        The timeout restarts after a pause of the caller itself, since answers may still wait in
+        its socket.
         """
         waiting = bool(self.subscriptions or self.pending) and bool(self.token)
         if not waiting or now - self.last_tick_at > FEED_TIMEOUT_MS:
@@ -352,7 +352,7 @@
 
     @on_message.register
     def on_open_refused(self, message: messages.OpenRefused, now: int) -> None:
-        """Postpone the next open until the time that the refusal gives."""
+        """Postpone the next open until the refusal's retry time."""
         if not self.token:
             self.refusal = message
             self.open_resend_at = max(self.open_resend_at, message.retry_at)
@@ -506,7 +506,7 @@
 
     @on_message.register
     def on_feed_ended(self, message: messages.FeedEnded, now: int) -> None:
-        """Subscribe again at the time that the message gives."""
+        """Subscribe again at the message's retry time."""
         subscription = self.subscriptions.get(message.request)
         if subscription is not None:
             subscription.resend_at = max(now, message.retry_at)
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -7,7 +7,7 @@
 def on_subscribe(
     state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Subscribe, now: int
 ) -> None:
-    """Start a subscription, or resume it from the position that the caller gives."""
+    """Start a subscription, or resume it from the position in the message."""
     feed = flow.feeds.get(message.request)
     if feed is None:
         if not state.can_start(flow.service):
@@ -122,14 +122,14 @@
 
 def flows_with_feeds(state: sidecar_state.SidecarState) -> list[flows.Flow]:
     """Return the flows with feeds whose home is here, and drop the ids of other flows."""
-    living = []
+    subscribed = []
     for flow_id in list(state.feed_flow_ids):
         flow = state.flows.get(flow_id)
         if flow is None or not flow.feeds:
             state.feed_flow_ids.discard(flow_id)
         else:
-            living.append(flow)
-    return living
+            subscribed.append(flow)
+    return subscribed
 
 
 def subscribers(
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -78,9 +78,9 @@
 
 
 def extend_stay(state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
-    """Keep a flow that no sidecar takes, with a short lease, and offer it again later.
+    """Keep a flow that no sidecar accepts, with a short lease, and offer it again later.
 
-    If all upstreams of a service stop at once, no sidecar takes its flows. Without the short
+    If all upstreams of a service stop at once, no sidecar accepts its flows. Without the short
     lease, a flow whose caller has exited without closing it would keep this sidecar running until
     its supervisor kills it.
     """
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -104,12 +104,14 @@
     def __init__(self) -> None:
         self.means: dict[str, float] = {}
 
-    def record(self, service: str, took: int) -> None:
+    def record(self, service: str, duration_ms: int) -> None:
         """Record one service time in ms."""
         if service not in self.means and len(self.means) >= MAX_SERVICES:
             service = ""
         mean = self.means.get(service)
-        self.means[service] = took if mean is None else mean + (took - mean) * ESTIMATE_WEIGHT
+        self.means[service] = (
+            duration_ms if mean is None else mean + (duration_ms - mean) * ESTIMATE_WEIGHT
+        )
 
     def mean(self, service: str) -> float:
         """Return the estimate of a service, or 0 without one."""
@@ -160,7 +162,7 @@
     ) -> Verdict:
         """Start, queue or refuse a request that was not admitted before.
 
-        With a free slot it starts whatever the estimate says: a wrong estimate could otherwise
+        With a free slot it starts regardless of the estimate: a wrong estimate could otherwise
         refuse every request and would never be corrected.
         """
         if deadline <= now:
@@ -254,7 +256,7 @@
         return True
 
     def shrink(self, started: Started, now: int) -> None:
-        """Reduce the concurrency, once for all runs that started before the last reduction.
+        """Reduce the concurrency, unless the run started before the last reduction.
 
         Additive increase, multiplicative decrease (Chiu and Jain, 1989).
         """
--- a/src/ebonystile/core/calls/progress.py
+++ b/src/ebonystile/core/calls/progress.py
@@ -80,7 +80,7 @@
 class Subscription:
     """A subscription to a feed; `position` is the last event delivered.
 
-    `ahead` holds events that came before an earlier one, which took a slower balancer.
+    `early_events` holds events by position that arrived before the next one to deliver.
     """
 
     id: bytes
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -75,9 +75,9 @@
         state.trace("trusted")
 
 
-def record_result(state: sidecar_state.SidecarState, good: bool, now: int) -> None:
+def record_result(state: sidecar_state.SidecarState, succeeded: bool, now: int) -> None:
     """Record the result of a request or a health check of the own upstream."""
-    if good:
+    if succeeded:
         state.balance.suspicion.record_success(state.name, now)
     elif state.balance.suspicion.record_failure(state.name, now):
         state.trace("suspected")
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -181,7 +181,7 @@
 
 
 def apply_leaving(state: sidecar_state.SidecarState, leaving: bool, now: int) -> None:
-    """Leave or stay as the view says, unless the process itself has decided to leave."""
+    """Leave or stay according to the view, unless the process itself has decided to leave."""
     if leaving and not state.leaving_reason:
         leave(state, "the configuration or the list says so", now)
         state.is_leaving_by_view = True
--- a/tests/test_call.py
+++ b/tests/test_call.py
@@ -103,9 +103,9 @@
     for _ in range(messages.WINDOW):
         caller.receive(unknown, NOW)
     assert caller.outcomes == []
-    for walk in range(1, progress.UNKNOWN_FLOW_LIMIT):
+    for attempt in range(1, progress.UNKNOWN_FLOW_LIMIT):
         assert caller.outcomes == []
-        caller.receive(unknown, NOW + walk * progress.FIRST_RESEND_MS)
+        caller.receive(unknown, NOW + attempt * progress.FIRST_RESEND_MS)
     assert [o.outcome for o in caller.outcomes] == [progress.Outcome.UNKNOWN]
 
 
