--- a/src/ebonystile/clock.py
+++ b/src/ebonystile/clock.py
@@ -1,7 +1,7 @@
-"""Tell the time in milliseconds since the epoch, never stepping back while the process runs.
+"""Monotonic clock in milliseconds since the epoch.
 
-Anchored to the wall clock once, at the start, and monotonic from then on. A step of the wall clock
-(NTP, an operator) would otherwise let a ledger forget a request early, and so run it twice.
+It is set from the wall clock once, at the start. With steps of the wall clock (NTP, an operator), a
+ledger could drop a request too early, so that the request would run twice.
 """
 
 import time
@@ -12,10 +12,10 @@
 
 
 def now() -> int:
-    """Return the present time in milliseconds."""
+    """Return the current time in milliseconds."""
     return (ANCHOR_NS + time.monotonic_ns()) // NS_PER_MS
 
 
 def seconds_until(deadline: int) -> float:
-    """Return the seconds left before a deadline in milliseconds, never less than 0."""
+    """Return the seconds until a deadline in milliseconds; 0 if it has passed."""
     return max(0, deadline - now()) / 1000
--- a/src/ebonystile/codec.py
+++ b/src/ebonystile/codec.py
@@ -1,7 +1,8 @@
-"""Turn typed messages into CBOR arrays and back, checking every field on the way in.
+"""Encode typed messages as CBOR arrays and decode them, with a type check of every field.
 
-A message is a frozen data class with an integer `KIND`. On the wire it is the array
-`[KIND, field, field, ...]` in the order of the class (RFC 8949). Types come from the annotations.
+A message is a frozen data class with an integer `KIND`. On the wire it is the CBOR array
+`[KIND, field, field, ...]` in the order of the class's fields (RFC 8949). The types of the fields
+come from the annotations.
 """
 
 import dataclasses
@@ -20,11 +21,11 @@
 Check = abc.Callable[[typing.Any], bool]
 
 INTEGER_LIMIT = 1 << 63
-"""Integers at or beyond this size are refused, so no message can carry an unbounded number."""
+"""Accepted integers lie between minus this and twice this, exclusively: int64 and uint64."""
 
 
 def make_check(annotation: typing.Any) -> Check:
-    """Return a predicate that tells whether a decoded value fits the annotation."""
+    """Return a predicate for decoded values of the annotated type."""
     if annotation is int:
         return lambda v: type(v) is int and -INTEGER_LIMIT < v < 2 * INTEGER_LIMIT
     if annotation in (bool, str, bytes, float):
@@ -50,14 +51,14 @@
 
 
 def freeze(value: typing.Any) -> typing.Any:
-    """Turn the lists that CBOR gives into tuples, so messages can be compared and hashed."""
+    """Return the value with lists converted to tuples, so that messages are hashable."""
     if type(value) is list:
         return tuple(freeze(item) for item in value)
     return value
 
 
 class Codec:
-    """Encode and decode one family of messages, told apart by their `KIND`."""
+    """Encode and decode one family of messages, distinguished by their `KIND`."""
 
     def __init__(self, family: str, message_types: abc.Iterable[type]):
         self.family = family
@@ -73,7 +74,7 @@
             self.names[message_type] = tuple(fields)
 
     def to_items(self, message: typing.Any) -> list[typing.Any]:
-        """Return the kind and the fields, as they stand in the array on the wire."""
+        """Return the items of the message's array on the wire: its kind and its fields."""
         return [message.KIND, *[getattr(message, name) for name in self.names[type(message)]]]
 
     def encode(self, message: typing.Any) -> bytes:
@@ -88,14 +89,14 @@
             file = io.BytesIO(data)
             items = cbor2.load(file)
         except Exception as error:
-            # The library raises many types for malformed input; each means the same to us.
+            # The library raises many types of exceptions for malformed input.
             raise self.make_error(f"not CBOR: {error}") from error
         if file.tell() < len(data):
             raise self.make_error("more follows the message")
         return self.from_items(items)
 
     def from_items(self, items: typing.Any) -> typing.Any:
-        """Return the message whose kind and fields are `items`, every field checked."""
+        """Return the message of `items`, its kind and fields; raise `DatagramError` if invalid."""
         if type(items) is not list or not items or type(items[0]) is not int:
             raise self.make_error("not a message")
         entry = self.by_kind.get(items[0])
@@ -110,5 +111,5 @@
         return message_type(*[freeze(value) for value in items[1:]])
 
     def make_error(self, reason: str) -> errors.DatagramError:
-        """Return the error for a datagram of this family."""
+        """Return the error for an invalid datagram of this family."""
         return errors.DatagramError(reason, step="decode", peer=self.family)
--- a/src/ebonystile/daemon/__init__.py
+++ b/src/ebonystile/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run the decision cores: sockets, threads and clocks around them."""
+"""Run the cores as processes: sockets, threads and clocks."""
--- a/src/ebonystile/daemon/answers.py
+++ b/src/ebonystile/daemon/answers.py
@@ -1,4 +1,4 @@
-"""Answer operators' questions from the state of a core; to be called by the thread that owns it."""
+"""Answer operators' questions from the state of a core; called by the thread that owns the core."""
 
 import dataclasses
 import functools
@@ -11,7 +11,7 @@
 from ebonystile.operator import messages
 
 MAX_RECORDS_BYTES = 1_500_000
-"""Most bytes of events in one answer, so that it fits a websocket message."""
+"""Upper bound on the bytes of events in one answer, so that it fits a websocket message."""
 
 BALANCER = "balancer"
 SIDECAR = "sidecar"
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Which process this is; `started` is the time of its start in ms."""
+    """The identity of a process; `started` is the time of its start in ms."""
 
     name: str
     role: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShellState:
-    """What the shell around a core knows: its inbox, suspected processes, refused documents."""
+    """State outside the core: queued inbox items, suspected processes, refused documents."""
 
     queued: int = 0
     leaving: str = ""
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessState:
-    """A process as its owner thread shows it to an operator at one moment."""
+    """A snapshot of a process, taken by its owner thread to answer an operator's question."""
 
     core: balancer.Balancer | sidecar_state.SidecarState
     identity: Identity
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoreSummary:
-    """How much a core holds and does."""
+    """The numbers of flows and requests of a core, and the services that it serves."""
 
     flows: int = 0
     running: int = 0
@@ -69,7 +69,7 @@
 @answer.register
 def _(question: messages.StatusRequest, process: ProcessState) -> messages.Status:
     identity = process.identity
-    work = summarize_core(process.core)
+    summary = summarize_core(process.core)
     return messages.Status(
         id=question.id,
         process=identity.name,
@@ -81,12 +81,12 @@
         started=identity.started,
         revision=process.core.view.revision,
         instances_revision=process.core.view.instances_revision,
-        leaving=work.leaving or process.shell.leaving,
-        flows=work.flows,
-        running=work.running,
-        queued=work.queued + process.shell.queued,
+        leaving=summary.leaving or process.shell.leaving,
+        flows=summary.flows,
+        running=summary.running,
+        queued=summary.queued + process.shell.queued,
         suspected=process.shell.suspected,
-        services=work.services,
+        services=summary.services,
         refusals=process.shell.refusals,
     )
 
@@ -133,15 +133,15 @@
 
 @answer.register
 def _(question: messages.ProcessesRequest, process: ProcessState) -> messages.Processes:
-    seen = process.core.view
-    balancers = [(f"{a[0]}:{a[1]}", BALANCER, a) for a in seen.balancers]
-    sidecars = [(e.name, SIDECAR, e.address) for e in seen.endpoints.values()]
+    current_view = process.core.view
+    balancers = [(f"{a[0]}:{a[1]}", BALANCER, a) for a in current_view.balancers]
+    sidecars = [(e.name, SIDECAR, e.address) for e in current_view.endpoints.values()]
     return messages.Processes(question.id, (*balancers, *sorted(sidecars)))
 
 
 @functools.singledispatch
 def summarize_core(core: balancer.Balancer | sidecar_state.SidecarState) -> CoreSummary:
-    """Return how much the core holds; a balancer holds nothing."""
+    """Return a summary of the core; a balancer has no flows and no requests."""
     return CoreSummary()
 
 
@@ -157,7 +157,7 @@
 def find_route(
     core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[str, str]:
-    """Return the upstream that the question's token leads to by this view, and the reason."""
+    """Return the upstream that the question's token maps to in this view, and the reason."""
     token = view.unpack_token(question.token)
     if token is None:
         return "", "no token: an open goes by the ranking"
@@ -173,7 +173,7 @@
 def find_flow_status(
     core: balancer.Balancer | sidecar_state.SidecarState, question: messages.ExplainRequest
 ) -> tuple[int, str]:
-    """Return whether the process holds the flow, and where it went; a balancer holds none."""
+    """Return the status of the flow in this process, and its target where it moves or has moved."""
     return messages.ABSENT, ""
 
 
--- a/src/ebonystile/daemon/balancer.py
+++ b/src/ebonystile/daemon/balancer.py
@@ -1,4 +1,4 @@
-"""Run a balancer: relay callers' datagrams to sidecars and their answers back."""
+"""Run a balancer: relay callers' datagrams to sidecars, and the sidecars' answers to callers."""
 
 import collections
 import random
@@ -11,11 +11,11 @@
 from ebonystile.peer import messages, seal
 
 LEAVE_IDLE_MS = 1_000
-"""A leaving balancer ends once no caller's datagram has come for this long, in ms."""
+"""A leaving balancer stops once it has received no caller's datagram for this long, in ms."""
 
 
 class Daemon:
-    """The shell of one balancer."""
+    """The sockets, threads and calls around one balancer's core."""
 
     def __init__(self, config: settings.BalancerSettings):
         self.config = config
@@ -51,7 +51,7 @@
             config.address,
             {**self.control_plane.handlers(), **self.reporter.handlers(config.keys)},
             self.reporter.metrics.text,
-            healthy=self.is_healthy,
+            is_healthy=self.is_healthy,
             connection_limit=config.tcp_connection_limit,
         )
         self.control_plane.start(self.seal, self.peers)
@@ -59,7 +59,7 @@
         guard.install_signal_handlers(self.loop, self.leave)
 
     def run(self) -> None:
-        """Run until the process has left."""
+        """Run until the balancer has left."""
         self.reporter.event("process_started", listen=":".join(map(str, self.config.listen)))
         guard.run(self.loop)
         self.control_plane.stop()
@@ -67,15 +67,15 @@
         logs.event("process_stopped", **self.counts)
 
     def is_healthy(self) -> bool:
-        """Whether the balancer has a configuration and is not leaving, for `/healthz`."""
+        """Return whether the balancer has a current view and is not leaving, for `/healthz`."""
         return self.core.view.revision > 0 and not self.is_view_stale and not self.leave_deadline
 
     def on_view_stale(self) -> None:
-        """Route nothing by an old view after a pause; callers retry through other balancers."""
+        """Stop routing by a stale view, as after a pause; callers retry through other balancers."""
         self.is_view_stale = True
 
     def shell_state(self) -> answers.ShellState:
-        """Return what operators see of the shell."""
+        """Return the state outside the core that operators are shown."""
         return answers.ShellState(
             queued=len(self.loop.inbox),
             leaving=self.leaving_reason,
@@ -84,7 +84,7 @@
         )
 
     def on_view(self, newer: view.View) -> None:
-        """Route by a newer view from now on."""
+        """Route by a newer view, or go on by the current one, which is confirmed."""
         self.is_view_stale = False
         before = self.core.view.revision
         if balancer.change_view(self.core, newer) and newer.revision != before:
@@ -115,7 +115,7 @@
             self.counts["returned"] += 1
 
     def leave(self, reason: str) -> None:
-        """Go on relaying until the fabric hands over no more packets, or time is up."""
+        """Begin to leave: relay until no more packets arrive or the drain times out."""
         self.reporter.event("leaving", reason=reason)
         self.leaving_reason = reason
         self.last_datagram_at = clock.now()
@@ -123,7 +123,7 @@
         self.control_plane.leave()
 
     def tick(self) -> None:
-        """Note how far the loop is behind, and end a leaving balancer whose work is done."""
+        """Report the loop's lag to the gate; stop a leaving balancer that is idle or timed out."""
         now = clock.now()
         self.core.gate.observe(self.loop.lag(self.callers), now)
         if not self.leave_deadline:
@@ -133,7 +133,7 @@
 
 
 def run(config: settings.BalancerSettings) -> None:
-    """Run a balancer until it is told to leave and has left."""
+    """Run a balancer until it has received a stop signal and has left."""
     daemon = Daemon(config)
     logs.setup("ebonystile-balancer", config.name, daemon.incarnation, config.log_level)
     daemon.run()
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -1,8 +1,8 @@
-"""Run the control core of a process: its calls of the platform, its messages and its pulls.
+"""Run the control core of a process: its calls to the platform, its messages and its pulls.
 
-The core (`core.control.gossip`) decides in the owner thread. Calls of the platform and pulls over a
-websocket block, so they run in executors whose callbacks post events; packing and unpacking of
-large updates happens there as well, to keep the packet path free.
+The core (`core.control.gossip`) runs in the owner thread. Calls to the platform and pulls over a
+websocket block, so they run in executors whose callbacks post events. Large updates are packed and
+unpacked outside the owner thread as well, to keep the packet path free.
 """
 
 import concurrent.futures
@@ -22,14 +22,14 @@
 from ebonystile.platform import client
 
 PATH = "/control"
-"""Path of the websocket over which pulls with large answers go."""
+"""Path of the websocket for pulls."""
 
 CBOR_ARRAY = 4
-"""Major type of a CBOR array (RFC 8949): the first byte of the packet path is never one."""
+"""Major type of a CBOR array (RFC 8949); no message of the packet path starts with it."""
 
 TICK_MS = 100
 PULL_TIMEOUT_S = 2
-"""Longest time that a peer's pull waits for the owner thread, in seconds."""
+"""Longest time for which a peer's pull waits for the owner thread, in seconds."""
 
 EVENT_LEVELS = {
     "document_refused": "ERROR",
@@ -37,16 +37,19 @@
     "catch_up_waiting": "WARNING",
     "platform_older": "WARNING",
 }
-"""Levels of the events that operators should look at; the others are INFO."""
+"""Log levels of events that need an operator's attention; all others are INFO."""
 
 PLATFORM_THREADS = 3
-FETCH_THREADS = 2
+PULL_THREADS = 2
 
 EventCallback = abc.Callable[..., None]
 
 
 class Control:
-    """The shell of one control core; everything but `on_pull` belongs to the owner thread."""
+    """The I/O around one control core; call its methods from the owner thread.
+
+    `on_pull`, `post_event` and the methods that run in executors are the exceptions.
+    """
 
     def __init__(
         self,
@@ -75,44 +78,44 @@
         )
         self.platform = client.make_platform(config.platform, clock.now)
         self.platform_calls = concurrent.futures.ThreadPoolExecutor(PLATFORM_THREADS, "platform")
-        self.pull_calls = concurrent.futures.ThreadPoolExecutor(FETCH_THREADS, "fetch")
+        self.pull_calls = concurrent.futures.ThreadPoolExecutor(PULL_THREADS, "fetch")
         self.seal: seal.Seal
         self.socket: socket.socket
 
     def start(self, own_seal: seal.Seal, peers: socket.socket) -> None:
-        """Begin to catch up; messages go out by the socket towards the other processes."""
+        """Begin to catch up; messages to other processes are sent from the socket `peers`."""
         self.seal = own_seal
         self.socket = peers
         self.owner.call_every(TICK_MS, functools.partial(self.handle_event, gossip.Tick()))
         self.handle_event(gossip.Tick())
 
     def stop(self) -> None:
-        """End the executors; what waits for an answer is not waited for."""
+        """Shut down the executors without waiting for calls in progress."""
         self.platform_calls.shutdown(wait=False, cancel_futures=True)
         self.pull_calls.shutdown(wait=False, cancel_futures=True)
         self.platform.close()
 
     def handlers(self) -> dict[str, abc.Callable[[bytes], bytes]]:
-        """Return what the TCP server needs to answer pulls."""
+        """Return the TCP server's handler for pulls, by path."""
         return {PATH: self.on_pull}
 
     def post_event(self, event: typing.Any) -> None:
-        """Let the owner thread give the core an event; for executors' threads."""
+        """Have the owner thread pass an event to the core; thread-safe."""
         self.owner.post(functools.partial(self.handle_event, event))
 
     def handle_event(self, event: typing.Any) -> None:
-        """Give the core an event and carry out what it decides."""
+        """Pass an event to the core and execute the effects that it returns."""
         for effect in gossip.decide(self.core, event, clock.now()):
             execute(effect, self)
 
     def leave(self) -> None:
-        """Tell the other processes that this one is leaving."""
+        """Announce to the other processes that this one is leaving."""
         self.handle_event(gossip.Leave())
 
-    def on_opened(self, opened: seal.Opened, source: view.Address) -> bool:
-        """Take a sealed datagram if it is a control message; return whether it was.
+    def handle_datagram(self, opened: seal.Opened, source: view.Address) -> bool:
+        """Handle an opened datagram if it is a control message; return whether it was one.
 
-        Every datagram shows its sender's revision: a higher one than ours leads to a pull.
+        Every datagram carries its sender's revision; one that is higher than ours leads to a pull.
         """
         if opened.revision > self.core.configuration.digest.values:
             self.handle_event(gossip.RevisionSeen(source, opened.revision))
@@ -122,11 +125,11 @@
         return True
 
     def suspected(self) -> tuple[str, ...]:
-        """Return the names of the processes that are suspected or count as dead."""
+        """Return the names of the processes that are suspected or considered dead."""
         return self.core.membership.suspected()
 
     def refusals(self) -> tuple[str, ...]:
-        """Return the faults of every document that is refused now, and names claimed twice."""
+        """Return the faults of all documents that are now refused, and the conflicts of names."""
         refused = tuple(
             f"{refusal.key} at revision {refusal.revision}: {fault}"
             for refusal in self.core.configuration.current_refusals
@@ -134,9 +137,9 @@
         )
         return refused + tuple(self.core.configuration.conflicts())
 
-    def on_pull(self, question: bytes) -> bytes:
+    def on_pull(self, sealed_pull: bytes) -> bytes:
         """Answer a peer's pull; runs in a thread of the server."""
-        body = self.bulk_seal.open(question, replayable=True).body
+        body = self.bulk_seal.open(sealed_pull, replayable=True).body
         pull = control.CONTROL.from_items(body)
         if not isinstance(pull, control.Pull):
             raise errors.DatagramError("not a pull", step="answer pull", peer="peer")
@@ -150,15 +153,15 @@
         return self.bulk_seal.seal(control.CONTROL.to_items(reply))
 
     def prepare_answer(self, pull: control.Pull, future: concurrent.futures.Future) -> None:
-        """Have the core put an answer together, in the owner thread."""
+        """Prepare the answer to a pull from the core's state; runs in the owner thread."""
         try:
             future.set_result(pulling.prepare_answer(self.core, pull, clock.now()))
         except Exception as error:
-            # The asking thread reports it; the owner thread must go on.
+            # The asking thread handles the error; the owner thread must go on.
             future.set_exception(error)
 
     def call_platform(self, effect: gossip_state.WatchPlatform) -> gossip.PlatformRead:
-        """Make one call of the platform; runs in an executor."""
+        """Make one call to the platform; runs in an executor."""
         if effect.stream == watching.VALUES:
             answer = self.platform.watch(effect.after, effect.wait_until)
             values = ((entry.key, entry.revision, entry.value) for entry in answer.entries)
@@ -170,7 +173,7 @@
         return gossip.PlatformRead(effect.stream, delta, listed.more)
 
     def on_platform_done(self, stream: str, future: concurrent.futures.Future) -> None:
-        """Tell the core what the platform answered."""
+        """Pass the result of a call to the platform to the core."""
         if future.cancelled():
             return
         error = future.exception()
@@ -183,11 +186,11 @@
             self.report_event("platform_failed", level="WARNING", stream=stream, error=str(error))
         self.post_event(gossip.PlatformFailed(stream))
 
-    def fetch(self, effect: gossip_state.Fetch) -> gossip.Fetched:
+    def send_pull(self, effect: gossip_state.Fetch) -> gossip.Fetched:
         """Send a pull over a websocket and unpack its answer; runs in an executor."""
-        question = self.bulk_seal.seal(control.CONTROL.to_items(effect.pull))
-        data = bulk.exchange(effect.address, PATH, question, effect.wait_until)
-        body = self.bulk_seal.open(data, replayable=True).body
+        sealed_pull = self.bulk_seal.seal(control.CONTROL.to_items(effect.pull))
+        sealed_answer = bulk.exchange(effect.address, PATH, sealed_pull, effect.wait_until)
+        body = self.bulk_seal.open(sealed_answer, replayable=True).body
         reply = control.CONTROL.from_items(body)
         if isinstance(reply, control.UpdateReply):
             return gossip.Fetched(reply, control.unpack_update(reply.update))
@@ -195,8 +198,8 @@
             return gossip.Fetched(reply)
         raise errors.DatagramError("not an answer to a pull", step="pull", peer="peer")
 
-    def on_fetch_done(self, nonce: int, future: concurrent.futures.Future) -> None:
-        """Tell the core what a pull brought."""
+    def on_pull_done(self, nonce: int, future: concurrent.futures.Future) -> None:
+        """Pass the result of a pull to the core."""
         if future.cancelled():
             return
         error = future.exception()
@@ -211,7 +214,7 @@
 
 
 def instance_of(entry: client.Instance) -> tuple[assembly.Instance, bool]:
-    """Return an entry of the platform's list, and whether the instance is gone."""
+    """Return the instance of an entry of the platform's list, and whether it is gone."""
     leaving = entry.state == "leaving"
     name, zone = sys.intern(entry.name), sys.intern(entry.zone)
     instance = assembly.Instance(name, entry.role, entry.address, zone, leaving)
@@ -219,7 +222,7 @@
 
 
 def make_limits(config: settings.ProcessSettings) -> gossip_state.Limits:
-    """Return the core's bounds as the settings give them."""
+    """Return the core's limits from the settings."""
     return gossip_state.Limits(
         exchange_ms=config.exchange_ms,
         watch_ms=config.watch_ms,
@@ -229,8 +232,8 @@
 
 @functools.singledispatch
 def execute(effect: typing.Any, shell: Control) -> None:
-    """Do what the core asks for."""
-    raise TypeError(f"no way to carry out {type(effect).__name__}")
+    """Execute one effect of the core."""
+    raise TypeError(f"no handler for the effect {type(effect).__name__}")
 
 
 @execute.register
@@ -247,8 +250,8 @@
 
 @execute.register
 def _(effect: gossip_state.Fetch, shell):
-    future = shell.pull_calls.submit(shell.fetch, effect)
-    future.add_done_callback(functools.partial(shell.on_fetch_done, effect.pull.nonce))
+    future = shell.pull_calls.submit(shell.send_pull, effect)
+    future.add_done_callback(functools.partial(shell.on_pull_done, effect.pull.nonce))
 
 
 @execute.register
--- a/src/ebonystile/daemon/guard.py
+++ b/src/ebonystile/daemon/guard.py
@@ -1,4 +1,4 @@
-"""End a process cleanly: at once when its owner thread meets a bug, else with the right status."""
+"""Exit at once if the owner thread fails, and with status 0 after a graceful stop."""
 
 import os
 import signal
@@ -10,11 +10,10 @@
 
 
 def run(owner: loop.Loop) -> None:
-    """Run the loop; at an exception that nobody expected, log it and end the process.
+    """Run the loop; log an unexpected exception and exit the process.
 
-    Only the owner thread decides anything. If it ended alone, the threads around it would keep a
-    process alive that still answers TCP and holds its port, but neither serves nor hands over any
-    flow: callers would wait in silence. A process that is gone is replaced, and its callers go on.
+    If only the owner thread ended, other threads would keep the process alive: it would hold its
+    port and answer TCP, but neither serve nor hand over any flow. A process that exits is replaced.
     """
     try:
         owner.run()
@@ -22,12 +21,11 @@
         logs.failure("bug", error)
         os._exit(FAILURE)
     for number in (signal.SIGTERM, signal.SIGINT):
-        # While Python goes down it puts the default action back in place of handlers, though not
-        # in place of "ignore". A second SIGTERM then would end a process that has left gracefully
-        # with a status that looks like a crash; it has nothing more to tell us.
+        # At exit Python restores the default action of handled signals, but not of ignored ones.
+        # Without this a late SIGTERM would give a graceful stop the exit status of a crash.
         signal.signal(number, signal.SIG_IGN)
 
 
 def install_signal_handlers(owner: loop.Loop, leave: abc.Callable[[str], None]) -> None:
-    """Leave gracefully at the first SIGTERM or SIGINT; note later ones, which change nothing."""
+    """Leave gracefully at the first SIGTERM or SIGINT; only log later ones."""
     loop.install_signal_handlers(owner, leave, lambda name: logs.event("signal_again", signal=name))
--- a/src/ebonystile/daemon/inbound.py
+++ b/src/ebonystile/daemon/inbound.py
@@ -1,4 +1,4 @@
-"""Open what comes from the system's other processes, alike in every shell."""
+"""Open datagrams from the system's other processes."""
 
 import collections
 
@@ -12,17 +12,17 @@
     data: bytes,
     source: view.Address,
     opener: seal.Seal,
-    plane: control.Control,
+    control_plane: control.Control,
     counts: collections.Counter[str],
 ) -> messages.Forward | messages.Return | messages.LoadReport | None:
-    """Return the message of the packet path in a sealed datagram.
+    """Return the packet-path message in a sealed datagram, or None.
 
-    Return None where there is none: the control plane has taken a message of its own, or the
-    datagram is forged, damaged, replayed or foreign, which is counted.
+    None means that the control plane handled the datagram, or that it was invalid (forged,
+    damaged, replayed or of another protocol), which is counted.
     """
     try:
         opened = opener.open(data)
-        if plane.on_opened(opened, source):
+        if control_plane.handle_datagram(opened, source):
             return None
         return messages.unpack(opened.content)
     except errors.DatagramError as error:
--- a/src/ebonystile/daemon/operator.py
+++ b/src/ebonystile/daemon/operator.py
@@ -1,4 +1,4 @@
-"""Take operators' questions from the TCP server to the thread that owns the core, and back."""
+"""Pass operators' questions from the TCP server to the core's owner thread, and return answers."""
 
 import threading
 from collections import abc
@@ -9,7 +9,7 @@
 from ebonystile.peer import seal
 
 ANSWER_TIMEOUT_S = 5
-"""Longest time that a question waits for the owner thread."""
+"""Longest time for which a question waits for the owner thread, in seconds."""
 
 Ask = abc.Callable[[messages.Question], "futures.Future[messages.Answer]"]
 
@@ -17,8 +17,8 @@
 class Handler:
     """Open a question, have the owner thread answer it, and seal the answer.
 
-    It has a seal of its own: the connections' threads share it, under a lock, and what operators
-    ask leaves the replay windows of the packet path alone.
+    It has its own seal, which the connections' threads share under a lock, so that operators'
+    messages don't enter the replay windows of the packet path.
     """
 
     def __init__(self, keys: abc.Sequence[seal.Key], incarnation: int, ask: Ask):
@@ -45,7 +45,7 @@
 def make_handler(keys: abc.Sequence[seal.Key], incarnation: int, ask: Ask) -> Handler:
     """Return the server's handler for `messages.PATH`.
 
-    `ask` posts the question to the owner thread and returns a future of its answer, which that
-    thread works out with `answers.answer`.
+    `ask` posts the question to the owner thread and returns a future of the answer, which that
+    thread computes with `answers.answer`.
     """
     return Handler(keys, incarnation, ask)
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -1,4 +1,4 @@
-"""Report what a process does: to its log, its time line, its metrics and to operators."""
+"""Report the events of a process to its log, time line and metrics, and answer operators."""
 
 import collections
 import functools
@@ -13,30 +13,29 @@
 from ebonystile.operator import messages
 
 LAG_INTERVAL_MS = 250
-"""How often the owner thread's lag is measured, in ms."""
+"""Interval at which the owner thread's lag is measured, in ms."""
 
 TRANSFER_FIELD = "transfer"
 TRANSFER_STEPS = {"fenced": 0, "adopted": 1, "handed_over": 2}
-"""The events of one handover in the order of cause and effect, over two processes."""
+"""The events of one handover in causal order; they come from two processes."""
 
 RATE_LIMITED_EVENTS = frozenset({"dropped", "unknown_flow"})
 MAX_EVENTS_PER_S = 10
-"""Events that anybody can cause by sending rubbish, and how many of each are kept in a second.
-
-All are counted; but a flood of them would push everything else out of the time line, at the very
-moment when operators want to know what else happened.
+"""Events that any sender of invalid datagrams can cause, and how many of each enter the time line
+per second. Beyond the limit they are only counted and logged: a flood would otherwise evict all
+other events from the time line.
 """
 
 SECOND_MS = 1_000
 
 DETAIL_LEVEL = "DEBUG"
-"""Level of what happens to single flows and requests; the time line has it at any level."""
+"""Log level of events of single flows and requests; the time line keeps them at any level."""
 
 
 class Reporter:
     """The log, the time line, the metrics and the operators' answers of one process.
 
-    `event`, `ask`, what `handlers` gives and `metrics.text` may be called from any thread.
+    `event`, `ask`, the handlers that `handlers` returns and `metrics.text` are thread-safe.
     """
 
     def __init__(
@@ -76,13 +75,13 @@
         request: bytes = b"",
         **fields: typing.Any,
     ) -> None:
-        """Count an event, log it and put it into the time line."""
+        """Count an event, log it and add it to the time line."""
         with self.lock:
             self.counts[name] += 1
-            flooded = name in RATE_LIMITED_EVENTS and self.is_rate_limited(name)
+            is_limited = name in RATE_LIMITED_EVENTS and self.is_rate_limited(name)
         ids = {key: value for key, value in (("flow", flow), ("request", request)) if value}
         logs.event(name, level=level, **ids, **fields)
-        if flooded:
+        if is_limited:
             return
         link = fields.pop(TRANSFER_FIELD, b"")
         self.ring.add(
@@ -97,7 +96,7 @@
         )
 
     def is_rate_limited(self, name: str) -> bool:
-        """Count a floodable event; tell whether this second has had enough of them."""
+        """Count a rate-limited event; return whether it exceeds the limit for this second."""
         now = clock.now()
         if now >= self.rate_window_end:
             self.rate_window_end = now + SECOND_MS
@@ -106,69 +105,71 @@
         return self.rate_window_counts[name] > MAX_EVENTS_PER_S
 
     def handlers(self, keys: abc.Iterable[typing.Any]) -> dict[str, operator.Handler]:
-        """Return what the TCP server needs to answer operators."""
+        """Return the TCP server's handlers for operators' questions, by path."""
         handler = operator.make_handler(keys, self.identity.incarnation, self.ask)
         return {messages.PATH: handler}
 
     def ask(self, question: messages.Question) -> futures.Future[messages.Answer]:
-        """Have the owner thread answer a question; may be called from any thread."""
+        """Return a future of the owner thread's answer to a question; thread-safe."""
         future: futures.Future[messages.Answer] = futures.Future()
         self.owner.post(functools.partial(self.answer, question, future))
         return future
 
     def answer(self, question: messages.Question, future: futures.Future) -> None:
-        """Answer a question unless nobody waits for it any more."""
+        """Answer a question unless its future was cancelled."""
         if not future.set_running_or_notify_cancel():
             return
         try:
             future.set_result(answers.answer(question, self.process_state()))
         except Exception as error:
-            # The asking thread reports it; the owner thread must go on routing packets.
+            # The asking thread handles the error; the owner thread must go on routing packets.
             future.set_exception(error)
 
     def process_state(self) -> answers.ProcessState:
-        """Return the process as it is at this moment."""
+        """Return a snapshot of the process."""
         return answers.ProcessState(
             self.core, self.identity, self.shell_state(), self.ring, clock.now()
         )
 
     def measure_lag(self) -> None:
-        """Record by how much the owner thread is behind its timer."""
+        """Record by how much the owner thread runs this timer late."""
         now = clock.now()
         self.lag.record(now, now - self.lag_due)
         self.lag_due = now + LAG_INTERVAL_MS
 
 
 @functools.singledispatch
-def add_gauges(core: balancer.Balancer | sidecar_state.SidecarState, held: metrics.Metrics) -> None:
-    """Expose the sizes of a core; each read is one step, so another thread may do it."""
-    held.gauge("revision", "Revision of the documents in force.", lambda: core.view.revision)
+def add_gauges(
+    core: balancer.Balancer | sidecar_state.SidecarState, registry: metrics.Metrics
+) -> None:
+    """Register gauges of a core; each read is atomic, so another thread may do it."""
+    registry.gauge("revision", "Revision of the documents in force.", lambda: core.view.revision)
 
 
 @add_gauges.register
-def _(core: sidecar_state.SidecarState, held: metrics.Metrics) -> None:
-    add_gauges.dispatch(object)(core, held)
-    held.gauge("flows", "Flows known, those handed over included.", lambda: len(core.flows))
-    held.gauge("running", "Requests that run.", lambda: len(core.slots.running))
-    held.gauge("queued", "Requests that wait for a slot.", lambda: len(core.slots.queue))
-    held.gauge(
+def _(core: sidecar_state.SidecarState, registry: metrics.Metrics) -> None:
+    add_gauges.dispatch(object)(core, registry)
+    registry.gauge("flows", "Flows known, those handed over included.", lambda: len(core.flows))
+    registry.gauge("running", "Requests that run.", lambda: len(core.slots.running))
+    registry.gauge("queued", "Requests that wait for a slot.", lambda: len(core.slots.queue))
+    registry.gauge(
         "concurrency",
         "Requests that may run, less than the slots after the upstream shed.",
         lambda: core.slots.concurrency,
     )
-    held.gauge(
+    registry.gauge(
         "suspected",
         "1 while the upstream is suspected.",
         lambda: core.balance.suspicion.is_suspected(core.name),
     )
-    held.gauge("ledger", "Requests remembered.", lambda: len(core.ledger.entries))
-    held.gauge(
+    registry.gauge("ledger", "Requests remembered.", lambda: len(core.ledger.entries))
+    registry.gauge(
         "leaving", "1 while the process takes no new work.", lambda: bool(core.leaving_reason)
     )
 
 
 def upstream_of(identity: answers.Identity) -> str:
-    """Return the upstream that a process's events are about."""
+    """Return the upstream that a process's events refer to: a sidecar's own, else none."""
     return identity.name if identity.role == answers.SIDECAR else ""
 
 
@@ -180,5 +181,5 @@
     event_limit: int,
     shell_state: abc.Callable[[], answers.ShellState] = answers.ShellState,
 ) -> Reporter:
-    """Return the reporter of one process; `shell_state` is read whenever operators ask."""
+    """Return the reporter of one process; `shell_state` is called for each operator's question."""
     return Reporter(identity, core, owner, counts, event_limit, shell_state)
--- a/src/ebonystile/daemon/server.py
+++ b/src/ebonystile/daemon/server.py
@@ -1,7 +1,7 @@
-"""Serve the TCP side of a process: websockets for exchanges, plain HTTP for metrics and health.
+"""Serve a process's TCP port: websockets for exchanges, plain HTTP for metrics and health.
 
-Each websocket message is one question, answered by one message. The server knows nothing of what
-the messages mean: a handler for each path does.
+Each websocket message is a request that is answered by one message. The server treats messages as
+opaque bytes; a handler for each path interprets them.
 """
 
 import collections
@@ -22,15 +22,15 @@
 from ebonystile.peer import bulk
 
 MAX_MESSAGE_BYTES = bulk.MAX_MESSAGE_BYTES
-"""Largest message taken; the platform's values are at most half of it."""
+"""Largest message accepted; the platform's values are at most half of it."""
 
 HANDSHAKE_TIMEOUT_S = 3
 IDLE_TIMEOUT_S = 30
 CLOSE_TIMEOUT_S = 2
-"""Seconds that a peer may take to shake hands, to ask the next question and to say goodbye."""
+"""Timeouts of the handshake, of the next message and of the closing handshake, in seconds."""
 
 EVICTION_TIMEOUT_S = 1
-"""Seconds that ending a silent connection may take to free its place."""
+"""Longest wait for an evicted connection to be released, in seconds."""
 
 ACCEPT_POLL_S = 0.2
 ACCEPT_BACKOFF_S = 0.1
@@ -45,9 +45,9 @@
 class Listener(socket.socket):
     """A listening socket whose `accept` fails only once the socket is closed.
 
-    The library's loop ends for good at the first error of `accept`. A burst of connections that
-    uses up the file descriptors (EMFILE), or a caller who hangs up early (ECONNABORTED), would
-    leave a process that runs but that nobody can ask anything; here both are waited out.
+    The library's accept loop ends at the first error. Transient ones, such as exhausted file
+    descriptors (EMFILE) or an aborted connection (ECONNABORTED), would leave a running process
+    without its TCP server; they are retried here.
     """
 
     def accept(self):
@@ -66,25 +66,25 @@
 
 
 class Server:
-    """The running TCP side of a process; `counts` tells what was served and what refused."""
+    """The TCP server of a process; `counts` holds its connections and messages by outcome."""
 
     def __init__(
         self,
         handlers: abc.Mapping[str, Handler],
         metrics_text: abc.Callable[[], bytes],
-        healthy: abc.Callable[[], bool],
+        is_healthy: abc.Callable[[], bool],
         connection_limit: int,
     ):
         self.handlers = dict(handlers)
         self.metrics_text = metrics_text
-        self.is_healthy = healthy
+        self.is_healthy = is_healthy
         self.free_connections = threading.BoundedSemaphore(connection_limit)
         self.lock = threading.Lock()
         self.silent_connections: dict[socket.socket, None] = {}
         self.counts: collections.Counter[str] = collections.Counter()
 
     def start(self, address: view.Address) -> None:
-        """Listen on `address` and serve from a thread of its own; raise `PeerError` if taken."""
+        """Listen on `address` and serve in a new thread; raise `PeerError` if that fails."""
         listener = make_listener(address)
         self.address: view.Address = listener.getsockname()
         self.server = websockets_server.serve(
@@ -103,7 +103,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Close every connection and wait for the threads; may be called twice."""
+        """Close all connections and wait for the threads; may be called twice."""
         with self.lock:
             silent = list(self.silent_connections)
         for connection in silent:
@@ -112,12 +112,12 @@
         self.thread.join()
 
     def count(self, name: str) -> None:
-        """Add one to a count; the connections' threads share them."""
+        """Increment a count; thread-safe."""
         with self.lock:
             self.counts[name] += 1
 
     def admit(self, connection: socket.socket, peer: view.Address) -> None:
-        """Serve an accepted connection if there is room, or can be made."""
+        """Serve an accepted connection within the limit; at the limit, evict a silent one."""
         if not self.free_connections.acquire(blocking=False) and not self.evict_silent():
             self.count("connections_refused")
             connection.close()
@@ -133,11 +133,11 @@
             self.free_connections.release()
 
     def evict_silent(self) -> bool:
-        """End the longest silent connection; return whether its place was got.
+        """Shut down the oldest silent connection; return whether a place became free.
 
-        Somebody who opens connections and says nothing could otherwise keep handovers out for as
-        long as they like. A process of the system speaks within milliseconds, and whoever speaks
-        nonsense is cut off, so only the silent ones give way.
+        Without eviction, connections that send nothing could block handovers. The system's own
+        processes send their first message within milliseconds, and invalid messages close the
+        connection, so only connections without any message are evicted.
         """
         with self.lock:
             longest = next(iter(self.silent_connections), None)
@@ -149,12 +149,12 @@
         return self.free_connections.acquire(timeout=EVICTION_TIMEOUT_S)
 
     def mark_active(self, connection: socket.socket) -> None:
-        """Note that a connection has spoken, or ended."""
+        """Exempt a connection from eviction once it has sent a message, or ended."""
         with self.lock:
             self.silent_connections.pop(connection, None)
 
     def handle_http(self, connection: websockets_server.ServerConnection, request) -> typing.Any:
-        """Answer plain HTTP; return None for a websocket, which `converse` then serves."""
+        """Answer plain HTTP; return None for a handler's path, which `serve_websocket` serves."""
         path = request.path.partition("?")[0]
         if path == METRICS_PATH:
             response = connection.respond(http.HTTPStatus.OK, self.metrics_text().decode())
@@ -171,13 +171,13 @@
         return None
 
     def serve_websocket(self, connection: websockets_server.ServerConnection) -> None:
-        """Answer one message after the other until the peer leaves, idles or sends nonsense."""
+        """Answer messages until the peer closes, idles or sends an invalid one."""
         handler = self.handlers[connection.request.path.partition("?")[0]]
         try:
             while True:
-                question = connection.recv(timeout=IDLE_TIMEOUT_S)
+                message = connection.recv(timeout=IDLE_TIMEOUT_S)
                 self.mark_active(connection.socket)
-                answer = self.answer(handler, question)
+                answer = self.answer(handler, message)
                 if answer is None:
                     connection.close(frames.CloseCode.POLICY_VIOLATION, "not understood")
                     return
@@ -189,19 +189,19 @@
         except websockets_exceptions.ConnectionClosed:
             self.count("connection_lost")
 
-    def answer(self, handler: Handler, question: bytes | str) -> bytes | None:
-        """Return the handler's answer, or None where the question can't be used."""
-        if isinstance(question, str):
+    def answer(self, handler: Handler, message: bytes | str) -> bytes | None:
+        """Return the handler's answer, or None if the message is invalid or the handler fails."""
+        if isinstance(message, str):
             self.count("bad_message")
             return None
         try:
-            answer = handler(question)
+            answer = handler(message)
         except errors.EbonystileError as error:
             self.count("bad_message")
             logs.event("exchange_refused", level="DEBUG", error=str(error))
             return None
         except Exception as error:
-            # A bug met in answering one peer must not end the exchange for all others.
+            # A bug in one handler must not end the server for other peers.
             self.count("handler_failed")
             logs.failure("exchange_failed", error)
             return None
@@ -210,13 +210,13 @@
 
 
 def shut_down(connection: socket.socket) -> None:
-    """Shut a connection down; the thread that reads from it notices and closes it."""
+    """Shut a connection down; the thread that reads from it then closes it."""
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
 
 
 def make_listener(address: view.Address) -> Listener:
-    """Return a listening socket on `address`; raise `PeerError` where that can't be had."""
+    """Return a socket that listens on `address`; raise `PeerError` if that fails."""
     listener = Listener(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -236,14 +236,14 @@
     handlers: abc.Mapping[str, Handler],
     metrics_text: abc.Callable[[], bytes],
     *,
-    healthy: abc.Callable[[], bool] = lambda: True,
+    is_healthy: abc.Callable[[], bool] = lambda: True,
     connection_limit: int = 64,
 ) -> Server:
     """Return a running server; a handler takes one message and returns the answer.
 
     A handler that raises an `EbonystileError` refuses the message: the connection is closed and
-    the refusal counted. `healthy` turns false when the process leaves: `/healthz` then says 503.
+    the refusal counted. `/healthz` returns 503 while `is_healthy` returns false.
     """
-    server = Server(handlers, metrics_text, healthy, connection_limit)
+    server = Server(handlers, metrics_text, is_healthy, connection_limit)
     server.start(address)
     return server
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""Run a sidecar: its core, the upstream beside it, and the sidecars that it hands flows to."""
+"""Run a sidecar: its core, the calls to its upstream and the transfers to other sidecars."""
 
 import collections
 import concurrent.futures
@@ -20,17 +20,17 @@
 FEED_POLL_MS = 1_000
 MAX_FEED_EVENTS = 256
 FEED_THREADS = 64
-"""Long polls of different feeds under way at once; each holds a thread while it waits."""
+"""Upper bound on concurrent long polls of feeds; each blocks a thread."""
 
 BULK_THREADS = 4
 LINGER_MS = 2_000
-"""A drained sidecar still shows callers their flows' new homes for this long, in ms."""
+"""Time for which a drained sidecar still redirects callers to their flows' new homes, in ms."""
 
 EXECUTOR_FAILED = "the executor failed"
 
 
 class Daemon:
-    """The shell of one sidecar."""
+    """The sockets, threads and calls around one sidecar's core."""
 
     def __init__(self, config: settings.SidecarSettings):
         self.config = config
@@ -86,7 +86,7 @@
                 **self.reporter.handlers(config.keys),
             },
             self.reporter.metrics.text,
-            healthy=self.is_healthy,
+            is_healthy=self.is_healthy,
             connection_limit=config.tcp_connection_limit,
         )
         self.control_plane.start(self.seal, self.peers)
@@ -96,7 +96,7 @@
         guard.install_signal_handlers(self.loop, self.leave)
 
     def run(self) -> None:
-        """Run until the process has left."""
+        """Run until the sidecar has drained or its drain has timed out."""
         self.reporter.event("process_started", address=":".join(map(str, self.config.address)))
         guard.run(self.loop)
         self.control_plane.stop()
@@ -106,19 +106,19 @@
         self.upstream.close()
         logs.event("process_stopped", **self.counts)
 
-    # What happens
+    # Events
 
     def post_event(self, event: typing.Any) -> None:
-        """Let the owner thread give the core an event; for executors' threads."""
+        """Have the owner thread pass an event to the core; thread-safe."""
         self.loop.post(functools.partial(self.handle_event, event))
 
     def handle_event(self, event: typing.Any) -> None:
-        """Give the core an event and carry out what it decides."""
+        """Pass an event to the core and execute the effects that it returns."""
         for effect in sidecar.decide(self.core, event, clock.now()):
             execute(effect, self)
 
     def on_peer_datagram(self, data: bytes, source: view.Address) -> None:
-        """Take a datagram from a balancer or another sidecar."""
+        """Handle a datagram from a balancer or another sidecar."""
         message = inbound.open_packet(data, source, self.seal, self.control_plane, self.counts)
         if type(message) is messages.Forward:
             self.handle_event(events.Arrived(message))
@@ -126,16 +126,16 @@
             self.handle_event(events.LoadReported(message))
 
     def on_view(self, newer: view.View) -> None:
-        """Act by a newer view, or learn that the present one is still in force."""
+        """Pass a newer view, or the confirmation of the current one, to the core."""
         self.handle_event(events.ViewChanged(newer))
 
     def on_view_stale(self) -> None:
-        """Log that the view may be old; the core noticed the pause itself and holds new work."""
+        """Log that the view may be stale; the core detects pauses itself and defers new work."""
         self.reporter.event("behind")
 
-    def on_transfer(self, question: bytes) -> bytes:
-        """Answer a sidecar that hands a flow over; runs in a thread of the server."""
-        body = self.bulk_seal.open(question, replayable=True).body
+    def on_transfer(self, sealed_transfer: bytes) -> bytes:
+        """Answer a transfer of a flow from another sidecar; runs in a thread of the server."""
+        body = self.bulk_seal.open(sealed_transfer, replayable=True).body
         message = transfer.TRANSFERS.from_items(body)
         if not isinstance(message, transfer.Transfer):
             raise errors.DatagramError("not a transfer", step="take transfer", peer="sidecar")
@@ -151,22 +151,22 @@
             self.pending_replies.pop(handle, None)
 
     def seal_transfer(self, message: transfer.Transfer | transfer.TransferReply) -> bytes:
-        """Return a transfer or its reply as it travels."""
+        """Return a transfer or its reply encoded and sealed for sending."""
         return self.bulk_seal.seal(transfer.TRANSFERS.to_items(message))
 
     def shell_state(self) -> answers.ShellState:
-        """Return what operators see of the shell."""
+        """Return the state outside the core that operators are shown."""
         suspected = {*siblings.suspected(self.core, clock.now()), *self.control_plane.suspected()}
         return answers.ShellState(
             suspected=tuple(sorted(suspected)), refusals=self.control_plane.refusals()
         )
 
     def is_healthy(self) -> bool:
-        """Whether the process has a configuration and takes new work, for `/healthz`."""
+        """Return whether the process has a configuration and accepts new work, for `/healthz`."""
         return self.core.view.revision > 0 and not self.core.leaving_reason
 
     def tick(self) -> None:
-        """Let the core look at the time, and end a process that has left."""
+        """Pass a tick to the core; stop a leaving process that has drained or timed out."""
         self.handle_event(events.Tick())
         if not self.leave_deadline:
             return
@@ -179,20 +179,20 @@
             self.loop.stop()
 
     def leave(self, reason: str) -> None:
-        """Finish what runs, hand over what stays, then end."""
+        """Begin to drain: finish running requests, hand flows over, then stop."""
         self.reporter.event("stop_asked", reason=reason)
         self.leave_deadline = clock.now() + self.config.drain_ms
         self.control_plane.leave()
         self.handle_event(events.Leave(reason))
 
     def fetch_health(self) -> None:
-        """Read whether the upstream is well, cold, or drains by itself."""
+        """Fetch whether the upstream is healthy, cold or draining."""
         if not self.health_pending:
             self.health_pending = True
             self.control_calls.submit(self.upstream.health).add_done_callback(self.on_health)
 
     def on_health(self, future: concurrent.futures.Future) -> None:
-        """Tell the core the upstream's health; leave when it says that it drains."""
+        """Pass the upstream's health to the core; leave if the upstream drains."""
         self.health_pending = False
         if future.cancelled() or future.exception() is not None:
             self.counts["health_failed"] += 1
@@ -204,21 +204,21 @@
             self.post_event(events.Leave("the upstream drains"))
 
     def fetch_load(self) -> None:
-        """Read what load the upstream claims to have; its silence changes nothing."""
+        """Fetch the load that the upstream reports."""
         if not self.load_pending:
             self.load_pending = True
             self.control_calls.submit(self.upstream.load).add_done_callback(self.on_load)
 
     def on_load(self, future: concurrent.futures.Future) -> None:
-        """Give the core the upstream's claim."""
+        """Pass the load that the upstream reports to the core; a failed call is only counted."""
         self.load_pending = False
         if future.cancelled() or future.exception() is not None:
             self.counts["load_failed"] += 1
         else:
-            claim = future.result()
-            self.post_event(events.UpstreamLoad(claim.running + claim.queued))
+            load = future.result()
+            self.post_event(events.UpstreamLoad(load.running + load.queued))
 
-    # What is to be done
+    # Calls to the upstream and to other sidecars
 
     def run_request(self, job: client.Job) -> client.Reply:
         """Run a request at the upstream; see `effects.RunRequest` for the check of the deadline."""
@@ -234,7 +234,7 @@
     def on_run_done(
         self, key: tuple[bytes, bytes], started: int, future: concurrent.futures.Future
     ) -> None:
-        """Tell the core how a request that was handed over at `started` ended."""
+        """Pass the result of a request that was sent to the upstream at `started` to the core."""
         if future.cancelled():
             return
         now = clock.now()
@@ -251,7 +251,7 @@
             self.post_event(events.Failed(key, EXECUTOR_FAILED, True))
 
     def on_poll_done(self, effect: effects.PollFeed, future: concurrent.futures.Future) -> None:
-        """Give the core the events of a feed."""
+        """Pass the events of a feed to the core."""
         if future.cancelled():
             return
         error = future.exception()
@@ -262,7 +262,7 @@
             self.post_event(events.FeedFailed(effect.path, str(error)))
 
     def poll_feed(self, effect: effects.PollFeed) -> list[client.Event]:
-        """Ask the upstream for the next events of a feed."""
+        """Fetch the next events of a feed from the upstream."""
         wait_until = clock.now() + FEED_POLL_MS
         return self.upstream.events(
             effect.path, effect.after, MAX_FEED_EVENTS, wait_until, service=effect.service
@@ -270,17 +270,17 @@
 
     def send_transfer(self, effect: effects.SendTransfer) -> transfer.TransferReply:
         """Send a flow to another sidecar and return its reply."""
-        question = self.seal_transfer(effect.transfer)
+        sealed_transfer = self.seal_transfer(effect.transfer)
         wait_until = clock.now() + TRANSFER_TIMEOUT_MS
-        answer = bulk.exchange(effect.address, TRANSFER_PATH, question, wait_until)
-        body = self.bulk_seal.open(answer, replayable=True).body
+        sealed_reply = bulk.exchange(effect.address, TRANSFER_PATH, sealed_transfer, wait_until)
+        body = self.bulk_seal.open(sealed_reply, replayable=True).body
         reply = transfer.TRANSFERS.from_items(body)
         if not isinstance(reply, transfer.TransferReply):
             raise errors.DatagramError("not a reply", step="hand over", peer="sidecar")
         return reply
 
     def on_transfer_done(self, sent: transfer.Transfer, future: concurrent.futures.Future) -> None:
-        """Tell the core what became of a transfer."""
+        """Pass the result of a transfer to the core."""
         if future.cancelled():
             return
         error = future.exception()
@@ -294,8 +294,8 @@
 
 @functools.singledispatch
 def execute(effect: typing.Any, daemon: Daemon) -> None:
-    """Do what the core asks for."""
-    raise TypeError(f"no way to carry out {type(effect).__name__}")
+    """Execute one effect of the core."""
+    raise TypeError(f"no handler for the effect {type(effect).__name__}")
 
 
 @execute.register
@@ -363,7 +363,7 @@
 
 
 def make_limits(config: settings.SidecarSettings) -> sidecar_state.Limits:
-    """Return the core's bounds as the settings give them."""
+    """Return the core's limits from the settings."""
     return sidecar_state.Limits(
         slots=config.slots,
         max_queued=config.queue_limit,
@@ -378,7 +378,7 @@
 
 
 def run(config: settings.SidecarSettings) -> None:
-    """Run a sidecar until it is told to leave and has left."""
+    """Run a sidecar until it has received a stop signal and drained."""
     daemon = Daemon(config)
     logs.setup("ebonystile-sidecar", config.name, daemon.incarnation, config.log_level)
     daemon.run()
--- a/src/ebonystile/daemon/tuning.py
+++ b/src/ebonystile/daemon/tuning.py
@@ -1,4 +1,4 @@
-"""Turn the operators' policy settings into what the decision cores take."""
+"""Convert the policy settings into the parameters of the cores."""
 
 from ebonystile import settings
 from ebonystile.core.calls import fairness, limits
@@ -6,7 +6,7 @@
 
 
 def make_policy(config: settings.SpreadingSettings) -> balance.Policy:
-    """Return a sidecar's policy."""
+    """Return a sidecar's policy for placement, queueing, load reports and suspicion."""
     return balance.Policy(
         placement_policy=make_placement(config),
         max_passes=config.passes,
@@ -29,7 +29,7 @@
 
 
 def make_placement(config: settings.SpreadingSettings) -> placement.Policy:
-    """Return the policy by which opens are kept or passed on."""
+    """Return the policy that places a new flow here or forwards its open to another sidecar."""
     if config.placement == "power-of-two":
         return placement.PowerOfTwo(
             config.candidates, config.work_gap, config.flow_gap, config.report_fade
@@ -44,7 +44,7 @@
 
 
 def make_gate(config: settings.GateSettings) -> fairness.Gate:
-    """Return a balancer's gate for opens."""
+    """Return a balancer's admission gate for opens."""
     return fairness.Gate(
         fairness.Bounds(
             config.opens_per_second,
--- a/src/ebonystile/errors.py
+++ b/src/ebonystile/errors.py
@@ -1,11 +1,11 @@
-"""The exceptions that ebonystile raises, each with the step and the peer at which it arose."""
+"""The exceptions that ebonystile raises, each with the step and the peer at which it occurred."""
 
 
 class EbonystileError(Exception):
     """Base of all errors that ebonystile raises on purpose.
 
-    `step` names what was being done ("read settings", "pull configuration"), `peer` with whom
-    (an address, a file, "platform"), so that one line tells an operator where to look.
+    `step` names the operation ("read settings", "pull configuration"), `peer` the other side of it
+    (an address, a file, "platform"). Both are part of the message.
     """
 
     def __init__(self, reason: str, *, step: str, peer: str):
@@ -16,11 +16,11 @@
 
 
 class UserError(EbonystileError):
-    """Report a fault that the person at the command line can mend; shown as one line."""
+    """Report a fault that the user of the command line can fix; shown as one line."""
 
 
 class SettingsError(UserError):
-    """Report settings or documents that do not hold, every fault at once in `faults`."""
+    """Report invalid settings or documents, with all faults in `faults`."""
 
     def __init__(self, faults: list[str], *, step: str, peer: str):
         super().__init__("; ".join(faults), step=step, peer=peer)
@@ -28,18 +28,18 @@
 
 
 class DatagramError(EbonystileError):
-    """Report a datagram that cannot be used: it is counted and dropped."""
+    """Report an invalid datagram, which is counted and dropped."""
 
 
 class PlatformError(EbonystileError):
-    """Report that the platform gave no usable answer."""
+    """Report that the platform gave no valid answer."""
 
 
 class UpstreamError(EbonystileError):
-    """Report that the upstream gave no usable answer.
+    """Report that the upstream gave no valid answer.
 
-    `may_have_run` is False only where the request was surely not run; `retry_at` (ms) is when the
-    upstream wants to be asked again, where it said so.
+    `may_have_run` is False only if the request was certainly not run; `retry_at` is the time in ms
+    from which the upstream accepts a retry, None if it named none.
     """
 
     def __init__(
@@ -57,15 +57,15 @@
 
 
 class PeerError(EbonystileError):
-    """Report that another process of the system gave no usable answer."""
+    """Report that another process of the system gave no valid answer."""
 
 
 class CallError(EbonystileError):
-    """Base of the final answers a caller gets instead of a result."""
+    """Base of the errors that a caller receives as the final outcome of a request."""
 
 
 class NotRunError(CallError):
-    """Report that the request was not run and never will be; come back at `retry_at` (ms)."""
+    """Report that the request was not run and will not be; it may be retried at `retry_at` (ms)."""
 
     def __init__(self, reason: str, *, step: str, peer: str, retry_at: int):
         super().__init__(reason, step=step, peer=peer)
@@ -73,4 +73,4 @@
 
 
 class OutcomeUnknownError(CallError):
-    """Report that nobody can tell any more whether the request was run."""
+    """Report that it can't be determined whether the request was run."""
--- a/src/ebonystile/logline.py
+++ b/src/ebonystile/logline.py
@@ -1,4 +1,4 @@
-"""Write a value as it stands in a line of key=value pairs (logfmt)."""
+"""Format the values in a line of key=value pairs (logfmt)."""
 
 import json
 import typing
@@ -6,11 +6,11 @@
 UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+,@[]"
 )
-"""Characters that a value may have without quotes."""
+"""Characters that need no quotes in a value."""
 
 
 def format_value(value: typing.Any) -> str:
-    """Return a value as it stands in a line: bytes as hex, quoted where it must be."""
+    """Return a value as text for a line: bytes as hex, quoted where necessary."""
     if isinstance(value, bytes):
         return value.hex() or '""'
     if isinstance(value, bool):
--- a/src/ebonystile/logs.py
+++ b/src/ebonystile/logs.py
@@ -1,6 +1,7 @@
-"""Write logs: one line of key=value pairs for each event, on standard error (logfmt).
+"""Write logs to standard error, one line of key=value pairs (logfmt) per event.
 
-Each line starts with time, level, program, process and incarnation; the event's own fields follow.
+Each line begins with time, level, program, process, incarnation and event; the fields of the event
+follow.
 """
 
 import datetime
@@ -14,11 +15,11 @@
 from ebonystile import logline
 
 MIN_LIBRARY_LEVEL = logging.WARNING
-"""Least level taken over from libraries that log by the standard module."""
+"""Lowest level of the records of libraries, which use the standard module, that are logged."""
 
 
 def setup(program: str, name: str, incarnation: int, level: str = "INFO") -> None:
-    """Send every event of this process to standard error, from `level` on."""
+    """Write this process's events of at least `level` to standard error."""
     loguru.logger.remove()
     loguru.logger.configure(
         extra={"program": program, "process": name, "incarnation": f"{incarnation:016x}"}
@@ -30,24 +31,24 @@
 
 
 def event(name: str, /, *, level: str = "INFO", **fields: typing.Any) -> None:
-    """Log the event with its fields; ids are given as bytes and come out as hex."""
+    """Log an event with its fields; bytes, such as ids, are written as hex."""
     loguru.logger.bind(fields=fields).log(level, name)
 
 
 def failure(name: str, error: BaseException, /, **fields: typing.Any) -> None:
-    """Log a bug: an exception that nobody expected, with its traceback in one field."""
+    """Log an unexpected exception as an error event, with its traceback in one field."""
     lines = traceback.format_exception(error)
     event(name, level="ERROR", **fields, error=repr(error), traceback="".join(lines))
 
 
 def format_record(record: typing.Any) -> str:
-    """Return the line as loguru wants it: a template that it fills from the record."""
+    """Return the template of a line, which loguru fills from the record."""
     record["extra"]["line"] = format_line(record)
     return "{extra[line]}\n"
 
 
 def format_line(record: typing.Any) -> str:
-    """Return the line that stands for the record."""
+    """Return a record as a line."""
     extra = record["extra"]
     utc = record["time"].astimezone(datetime.UTC)
     pairs = {
@@ -63,9 +64,9 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Take over what libraries log by the standard module."""
+    """Forward records of the standard module, which libraries use, to the log."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a library's record as an event of its own."""
+        """Log a library's record as an event."""
         level = record.levelname if record.levelname in logging.getLevelNamesMapping() else "ERROR"
         event("library", level=level, logger=record.name, message=record.getMessage())
--- a/src/ebonystile/loop.py
+++ b/src/ebonystile/loop.py
@@ -1,7 +1,7 @@
-"""Run one thread that owns a decision core: it drains sockets and an inbox, in order of arrival.
+"""Run the event loop of the thread that owns a core: sockets, timers and an inbox of callbacks.
 
-Everything that blocks runs in executors; their callbacks post to the inbox. So no core is ever
-touched by two threads, and no lock is needed around one.
+Blocking calls run in executors whose callbacks post to the inbox, so only the owner thread accesses
+the core and the core needs no lock.
 """
 
 import collections
@@ -19,21 +19,21 @@
 
 RECEIVE_BYTES = 65_535
 BATCH_DATAGRAMS = 64
-"""Datagrams taken from one socket before the next one and the inbox get their turn."""
+"""Upper bound on the datagrams read from one socket in one step of the loop."""
 
 MAX_LAG_MS = 1000
-"""Longest time that a datagram is taken to have waited, in ms: the socket's buffer is bounded."""
+"""Upper bound on the reported lag, in ms; the socket's buffer is bounded as well."""
 
 RECENTLY_FULL_MS = 100
-"""A full batch longer ago than this was the last one: the socket fell silent, in ms."""
+"""Age of the last full batch, in ms, beyond which the socket counts as idle."""
 
 BUFFER_BYTES = 8 << 20
-"""Socket buffer asked for, in bytes; the kernel may give less."""
+"""Requested size of a socket's buffers, in bytes; the kernel may grant less."""
 
 
 @dataclasses.dataclass(slots=True)
 class Timer:
-    """Something to do every `period` ms, next at `due`."""
+    """An action to run every `period` ms, next at `due`."""
 
     due: int
     period: int
@@ -41,9 +41,9 @@
 
 
 class Loop:
-    """The loop of an owner thread; only `post` may be called from other threads.
+    """The event loop of an owner thread; only `post` may be called from other threads.
 
-    `now` is the time in ms at which the present step began, for what needs no fresher one.
+    `now` is the time in ms at which the current step began.
     """
 
     def __init__(self):
@@ -61,20 +61,20 @@
         self.selector.register(self.wake_receiver, selectors.EVENT_READ, self.drain_wakeups)
 
     def post(self, action: abc.Callable[[], None]) -> None:
-        """Let the owner thread do something soon."""
+        """Run an action in the owner thread soon; thread-safe."""
         self.inbox.append(action)
         try:
             self.wake_sender.send(b"\0")
         except OSError:
-            # A full pipe means that the thread is to wake up anyway; a closed one, that it ended.
+            # The socket is full if a wake-up is pending already, and closed if the loop has ended.
             pass
 
     def call_every(self, period: int, action: abc.Callable[[], None]) -> None:
-        """Do something every `period` ms from now on."""
+        """Run an action every `period` ms from now on."""
         self.timers.append(Timer(clock.now() + period, period, action))
 
     def call_at(self, due: int, action: abc.Callable[[], None]) -> None:
-        """Do something once at the time `due` in ms."""
+        """Run an action once at the time `due` in ms."""
         heapq.heappush(self.alarms, (due, next(self.alarm_numbers), action))
 
     def listen(
@@ -83,7 +83,7 @@
         on_datagram: abc.Callable[[bytes, view.Address], None],
         buffer_bytes: int = BUFFER_BYTES,
     ) -> socket.socket:
-        """Return a UDP socket bound to `address` whose datagrams go to `on_datagram`."""
+        """Return a UDP socket bound to `address` whose datagrams are passed to `on_datagram`."""
         udp = make_socket(address, buffer_bytes)
         receiver = Receiver(udp, on_datagram)
         self.receivers[udp] = receiver
@@ -91,21 +91,21 @@
         return udp
 
     def lag(self, udp: socket.socket) -> int:
-        """Return for how long the socket has not been emptied, in ms: 0 if the loop keeps up."""
+        """Return for how long the socket has had a backlog, in ms; 0 if the loop keeps up."""
         receiver = self.receivers[udp]
         if receiver.behind_since is None or clock.now() - receiver.last_full_at > RECENTLY_FULL_MS:
             return 0
         return min(MAX_LAG_MS, receiver.last_full_at - receiver.behind_since)
 
     def drain_wakeups(self) -> None:
-        """Empty the waking pipe."""
+        """Read the pending wake-ups."""
         try:
             self.wake_receiver.recv(4096)
         except OSError:
             pass
 
     def run(self) -> None:
-        """Run until `stop`."""
+        """Run until `stop` is called, then close the sockets."""
         while self.running:
             self.step()
         for key in list(self.selector.get_map().values()):
@@ -116,7 +116,7 @@
         self.wake_receiver.close()
 
     def step(self) -> None:
-        """Wait for the next thing to do and do it."""
+        """Wait for a datagram, a posted action or a timer, and run what is due."""
         ready = self.selector.select(self.seconds_until_due())
         self.now = clock.now()
         for key, _ in ready:
@@ -132,7 +132,7 @@
             heapq.heappop(self.alarms)[2]()
 
     def seconds_until_due(self) -> float | None:
-        """Return how long nothing is due."""
+        """Return the seconds until the next timer is due; None without timers."""
         if self.inbox:
             return 0
         due = [timer.due for timer in self.timers]
@@ -141,12 +141,12 @@
         return clock.seconds_until(min(due)) if due else None
 
     def stop(self) -> None:
-        """End the loop after the present step."""
+        """End the loop after the current step."""
         self.running = False
 
 
 def make_socket(address: view.Address, buffer_bytes: int = BUFFER_BYTES) -> socket.socket:
-    """Return a bound UDP socket; raise `PeerError` where that can't be had."""
+    """Return a bound UDP socket; raise `PeerError` if that fails."""
     udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     udp.setblocking(False)
     for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
@@ -162,11 +162,11 @@
 
 
 class Receiver:
-    """Take datagrams from one socket, as many at a time as seem to be waiting.
+    """Read datagrams from one socket in batches of adaptive size.
 
-    Asking an empty socket costs as much as taking a datagram, so `batch` doubles while it is used
-    up and falls back to what came. Since `behind_since` (ms) no batch has emptied the socket, the
-    last of the largest ones being that of `last_full_at`.
+    Reading an empty socket costs as much as reading a datagram, so `batch` doubles while it is used
+    up and falls back to the number read. `behind_since` is the time (ms) since which no batch has
+    emptied the socket, `last_full_at` that of the last batch of the largest size.
     """
 
     def __init__(self, udp: socket.socket, on_datagram: abc.Callable[[bytes, view.Address], None]):
@@ -177,10 +177,9 @@
         self.last_full_at = 0
 
     def drain(self) -> None:
-        """Take a batch of datagrams.
+        """Read one batch of datagrams.
 
-        The kernel reports a past send's ICMP error on the next receive; it says nothing about
-        this socket, so it is passed over.
+        The kernel reports the ICMP error of an earlier send on the next receive; it is ignored.
         """
         receive, on_datagram = self.udp.recvfrom, self.on_datagram
         for taken in range(self.batch):
@@ -202,7 +201,7 @@
 
 
 def send(udp: socket.socket, data: bytes, address: view.Address) -> bool:
-    """Send a datagram; False if the kernel would not take it, which counts as loss on the way."""
+    """Send a datagram; return False if the kernel refused it, which amounts to packet loss."""
     try:
         udp.sendto(data, address)
     except (OSError, OverflowError):
@@ -214,12 +213,12 @@
     owner: Loop, leave: abc.Callable[[str], None], again: abc.Callable[[str], None]
 ) -> None:
     """Call `leave` at the first SIGTERM or SIGINT, `again` at later ones, in the loop's thread."""
-    noted: list[str] = []
+    received: list[str] = []
 
     def handle(number: int, _frame: typing.Any) -> None:
         name = signal.Signals(number).name
-        first = not noted
-        noted.append(name)
+        first = not received
+        received.append(name)
         owner.post(lambda: (leave if first else again)(name))
 
     signal.signal(signal.SIGTERM, handle)
--- a/src/ebonystile/metrics.py
+++ b/src/ebonystile/metrics.py
@@ -1,10 +1,10 @@
-"""Count what a process does, and expose it in the Prometheus text format (version 0.0.4).
+"""Metrics of a process, exposed in the Prometheus text format (version 0.0.4).
 
-Counters and histograms are updated by the one thread that owns them, without a lock; the thread
-that exposes them only reads, and may be one event behind.
+Counters and histograms are updated by the thread that owns them, without a lock; the thread that
+exposes them only reads them, and may be one event behind.
 
-The text is written here and not by the `prometheus-client` library, which the tests read it with:
-its imports would hold up the starts of the carriers on the smallest instances.
+The text is not written by the `prometheus-client` library, whose imports would delay the start of
+the processes on small instances; the tests parse the text with that library.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 MAX_DURATION_MS = 3_600_000
 SIGNIFICANT_DIGITS = 2
 WINDOW_MS = 60_000
-"""Quantiles are of the last one to two windows; count and sum of the whole run."""
+"""Quantiles cover the last one to two windows; count and sum cover the whole run."""
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 MS_PER_S = 1_000
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Counter:
-    """A number that only grows: `counter.value += 1`."""
+    """A number that only increases: `counter.value += 1`."""
 
     value: int = 0
 
@@ -42,7 +42,7 @@
         self.previous = make_histogram()
 
     def record(self, now: int, duration: int) -> None:
-        """Add one duration in ms; a longer one than `MAX_DURATION_MS` counts as that."""
+        """Add one duration in ms; the quantiles clamp it to 0 and `MAX_DURATION_MS`."""
         if now >= self.window_end:
             self.rotate_window(now)
         self.count += 1
@@ -50,14 +50,14 @@
         self.current.record_value(min(max(duration, 0), MAX_DURATION_MS))
 
     def rotate_window(self, now: int) -> None:
-        """Start a new window; what is older than the one before is forgotten."""
+        """Start a new window; drop durations from before the previous one."""
         stale = now >= self.window_end + WINDOW_MS
         self.previous = make_histogram() if stale else self.current
         self.current = make_histogram()
         self.window_end = now + WINDOW_MS
 
     def quantiles(self) -> dict[float, int]:
-        """Return the durations in ms at `QUANTILES`, empty where nothing was recorded lately."""
+        """Return the durations in ms at `QUANTILES`; empty if nothing was recorded recently."""
         recent = make_histogram()
         recent.add(self.previous)
         recent.add(self.current)
@@ -67,20 +67,20 @@
 
 
 def make_histogram() -> histogram.HdrHistogram:
-    """Return an empty histogram of milliseconds (about 18 kB)."""
+    """Return an empty histogram of durations in ms (about 18 kB)."""
     return histogram.HdrHistogram(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gauge:
-    """A number that is read whenever somebody asks, from the exposing thread."""
+    """A number that is read at each scrape, in the exposing thread."""
 
     read: abc.Callable[[], float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Counts by name, in a mapping that its owner goes on changing."""
+    """Counts by name, in a mapping that its owner keeps updating; `label` holds the name."""
 
     counts: abc.Mapping[str, int]
     label: str
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Family:
-    """One name with its help text and the holder of the value for each set of labels."""
+    """A metric name with its help text, and one metric for each set of labels."""
 
     kind: str
     name: str
@@ -103,7 +103,7 @@
 
 
 class Metrics:
-    """All metrics of one process; ask for each once and keep what is returned."""
+    """The metrics registry of one process; create each metric once and keep it."""
 
     KIND = "text/plain; version=0.0.4"
     """Content type of the text format."""
@@ -112,28 +112,28 @@
         self.families: dict[str, Family] = {}
 
     def counter(self, name: str, help: str, **labels: str) -> Counter:
-        """Return the counter of this name and these labels; `_total` is added to the name."""
+        """Return the counter of this name and these labels; the suffix `_total` is added."""
         return self.register(name, help, labels, Counter())
 
     def latency(self, name: str, help: str, **labels: str) -> Latency:
-        """Return the latency of this name and these labels; let the name end in `_seconds`."""
+        """Return the latency of this name and these labels; the name should end in `_seconds`."""
         return self.register(name, help, labels, Latency())
 
     def gauge(self, name: str, help: str, read: abc.Callable[[], float], **labels: str) -> Gauge:
-        """Expose what `read` returns; it must be safe to call from another thread."""
+        """Register a gauge that returns `read()`, which must be thread-safe."""
         return self.register(name, help, labels, Gauge(read))
 
     def tally(self, name: str, help: str, counts: abc.Mapping[str, int], label: str) -> Tally:
-        """Expose a mapping of counts, its keys as the values of one label."""
+        """Register a mapping of counts, whose keys become the values of one label."""
         return self.register(name, help, {}, Tally(counts, label))
 
-    def register(self, name: str, help: str, labels: dict[str, str], holder: Metric) -> typing.Any:
-        """Return the holder of one series, which is `holder` itself where the series is new."""
-        kind = KINDS[type(holder)]
+    def register(self, name: str, help: str, labels: dict[str, str], metric: Metric) -> typing.Any:
+        """Register a metric and return it, or the one registered earlier with these labels."""
+        kind = KINDS[type(metric)]
         family = self.families.setdefault(name, Family(kind, PREFIX + name, help, {}))
         if family.kind != kind:
             raise ValueError(f"{name} is a {family.kind}")
-        return family.series.setdefault(tuple(sorted(labels.items())), holder)
+        return family.series.setdefault(tuple(sorted(labels.items())), metric)
 
     def text(self) -> bytes:
         """Return all metrics in the text format."""
@@ -142,16 +142,16 @@
             name = family.name + ("_total" if family.kind == "counter" else "")
             lines.append(f"# HELP {name} {escape(family.help)}")
             lines.append(f"# TYPE {name} {family.kind}")
-            for labels, holder in list(family.series.items()):
+            for labels, metric in list(family.series.items()):
                 lines.extend(
-                    format_sample(sample) for sample in samples_of(holder, family.name, labels)
+                    format_sample(sample) for sample in samples_of(metric, family.name, labels)
                 )
         return "\n".join([*lines, ""]).encode()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One line of the text: a name, its labels and a value."""
+    """One line of the text format: a name, its labels and a value."""
 
     name: str
     labels: Labels
@@ -159,55 +159,55 @@
 
 
 @functools.singledispatch
-def samples_of(holder: Metric, name: str, labels: Labels) -> list[Sample]:
+def samples_of(metric: Metric, name: str, labels: Labels) -> list[Sample]:
     """Return the samples of one series."""
-    raise TypeError(f"no samples for {type(holder)}")
+    raise TypeError(f"no samples for {type(metric)}")
 
 
 @samples_of.register
-def _(holder: Counter, name: str, labels: Labels) -> list[Sample]:
-    return [Sample(name + "_total", labels, holder.value)]
+def _(metric: Counter, name: str, labels: Labels) -> list[Sample]:
+    return [Sample(name + "_total", labels, metric.value)]
 
 
 @samples_of.register
-def _(holder: Tally, name: str, labels: Labels) -> list[Sample]:
-    # The copy is one step for other threads; a loop over the mapping itself could meet a change.
-    counted = sorted(dict(holder.counts).items())
+def _(metric: Tally, name: str, labels: Labels) -> list[Sample]:
+    # Copying is atomic towards other threads; iterating over the mapping itself is not.
+    counted = sorted(dict(metric.counts).items())
     return [
-        Sample(name + "_total", (*labels, (holder.label, key)), value) for key, value in counted
+        Sample(name + "_total", (*labels, (metric.label, key)), value) for key, value in counted
     ]
 
 
 @samples_of.register
-def _(holder: Gauge, name: str, labels: Labels) -> list[Sample]:
-    return [Sample(name, labels, holder.read())]
+def _(metric: Gauge, name: str, labels: Labels) -> list[Sample]:
+    return [Sample(name, labels, metric.read())]
 
 
 @samples_of.register
-def _(holder: Latency, name: str, labels: Labels) -> list[Sample]:
+def _(metric: Latency, name: str, labels: Labels) -> list[Sample]:
     quantiles = [
         Sample(name, (*labels, ("quantile", str(quantile))), duration / MS_PER_S)
-        for quantile, duration in holder.quantiles().items()
+        for quantile, duration in metric.quantiles().items()
     ]
     return [
         *quantiles,
-        Sample(name + "_count", labels, holder.count),
-        Sample(name + "_sum", labels, holder.sum / MS_PER_S),
+        Sample(name + "_count", labels, metric.count),
+        Sample(name + "_sum", labels, metric.sum / MS_PER_S),
     ]
 
 
 def format_sample(sample: Sample) -> str:
-    """Return a sample as a line."""
-    marks = ",".join(f'{key}="{escape(value, quoted=True)}"' for key, value in sample.labels)
-    return f"{sample.name}{f'{{{marks}}}' if marks else ''} {float(sample.value)!r}"
+    """Return a sample as a line of the text format."""
+    label_text = ",".join(f'{key}="{escape(value, quoted=True)}"' for key, value in sample.labels)
+    return f"{sample.name}{f'{{{label_text}}}' if label_text else ''} {float(sample.value)!r}"
 
 
 def escape(text: str, *, quoted: bool = False) -> str:
-    """Return a text as the format wants it, within quotes or in a help line."""
+    """Return a text escaped for the text format, as a label value or in a help line."""
     plain = text.replace("\\", "\\\\").replace("\n", "\\n")
     return plain.replace('"', '\\"') if quoted else plain
 
 
 def make_metrics() -> Metrics:
-    """Return an empty set of metrics."""
+    """Return an empty registry."""
     return Metrics()
--- a/src/ebonystile/settings.py
+++ b/src/ebonystile/settings.py
@@ -1,8 +1,8 @@
-"""What a process is told at its start: the settings of the balancer and of the sidecar.
+"""Settings of the balancer, the sidecar and the operators' client.
 
-A file of JSON with comments, given by `--settings FILE`. Durations end in `_ms` and are in
-milliseconds; they are turned into deadlines the moment they are used. Everything that may change
-while a process runs (services, selectors, labels) comes from the platform instead.
+Settings are read once, at the start, from a file of JSON with comments (`--settings FILE`).
+Durations end in `_ms` and are in milliseconds. Configuration that may change while a process runs
+(services, selectors, labels) comes from the platform instead.
 """
 
 import ipaddress
@@ -19,14 +19,14 @@
 STEP = "read settings"
 SECRET_BYTES = 32
 NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?")
-"""The form of names, the same as in the documents that the platform publishes."""
+"""Valid names; the documents that the platform publishes have the same rule."""
 
 SECOND = 1_000
 MINUTE = 60 * SECOND
 
 
 def parse_address(value: typing.Any) -> view.Address:
-    """Return the address that `ip:port` stands for; raise `ValueError` for anything else."""
+    """Return the address in `ip:port`; raise `ValueError` for any other value."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not colon:
         raise ValueError('give it as "ip:port"')
@@ -40,7 +40,7 @@
 
 
 def parse_url(value: typing.Any) -> str:
-    """Return the URL without a last slash; raise `ValueError` unless it is http://ip:port."""
+    """Return the URL without a trailing slash; raise `ValueError` unless it is http://ip:port."""
     if not isinstance(value, str) or not value.startswith("http://"):
         raise ValueError('give it as "http://ip:port"')
     parts = urllib.parse.urlsplit(value)
@@ -51,7 +51,7 @@
 
 
 def parse_secret(value: typing.Any) -> bytes:
-    """Return the bytes of a secret in hex; the message never shows the secret."""
+    """Return the bytes of a secret in hex; the message of the `ValueError` omits the secret."""
     try:
         secret = bytes.fromhex(value)
     except (TypeError, ValueError):
@@ -62,7 +62,7 @@
 
 
 def parse_name(value: typing.Any) -> str:
-    """Return the name if it has the form of one."""
+    """Return the name; raise `ValueError` if it is invalid."""
     if not isinstance(value, str) or not NAME.fullmatch(value):
         raise ValueError("give a name of letters, digits and ._- between them, at most 63")
     return value
@@ -75,18 +75,18 @@
 LogLevel = typing.Literal["DEBUG", "INFO", "WARNING", "ERROR"]
 
 
-def duration(default: int, description: str, *, least: int = 1, most: int = 60 * MINUTE):
+def duration(default: int, description: str, *, minimum: int = 1, maximum: int = 60 * MINUTE):
     """Return a field for a duration in milliseconds."""
-    return pydantic.Field(default, ge=least, le=most, description=description)
+    return pydantic.Field(default, ge=minimum, le=maximum, description=description)
 
 
-def integer(default: int, description: str, *, least: int = 1, most: int = 10_000_000):
-    """Return a field for a number of things."""
-    return pydantic.Field(default, ge=least, le=most, description=description)
+def integer(default: int, description: str, *, minimum: int = 1, maximum: int = 10_000_000):
+    """Return a field for an integer, such as a count or a limit."""
+    return pydantic.Field(default, ge=minimum, le=maximum, description=description)
 
 
 class Key(validation.StrictModel):
-    """A key that datagrams and exchanges between the system's processes are signed with."""
+    """A key that authenticates datagrams and exchanges between the system's processes."""
 
     id: int = pydantic.Field(ge=0, le=255, description="Number that names the key on the wire.")
     secret: Secret = pydantic.Field(
@@ -95,7 +95,7 @@
 
 
 def check_keys(keys: list[Key]) -> list[Key]:
-    """Refuse two keys of one number: a receiver could not tell them apart."""
+    """Refuse two keys with the same id, which a receiver could not distinguish."""
     if len({key.id for key in keys}) < len(keys):
         raise ValueError("two keys have the same id")
     return keys
@@ -109,7 +109,7 @@
 
 
 class ProcessSettings(validation.StrictModel):
-    """What every process of the system is told."""
+    """The settings that balancers and sidecars share."""
 
     name: Name = pydantic.Field(description="Name of this instance on the platform's list.")
     zone: Name = pydantic.Field(description="Availability zone that this instance is in.")
@@ -133,8 +133,8 @@
         2 * SECOND,
         "How long one watch of the platform waits for a newer revision. Its answer confirms the "
         "configuration for all; where that is old, other processes begin to watch.",
-        least=100,
-        most=5 * SECOND,
+        minimum=100,
+        maximum=5 * SECOND,
     )
     instances_poll_ms: int = duration(
         2 * SECOND,
@@ -147,19 +147,19 @@
         30 * SECOND,
         "Longest time between SIGTERM and the end of the process, which comes as soon as nothing "
         "is left to do.",
-        most=24 * 60 * MINUTE,
+        maximum=24 * 60 * MINUTE,
     )
     tcp_connection_limit: int = integer(64, "TCP connections held at once; more are refused.")
     event_limit: int = integer(10_000, "Events kept in memory for the time line; oldest go first.")
 
 
-def share(default: float, description: str, *, most: float = 1.0):
-    """Return a field for a share or a small ratio."""
-    return pydantic.Field(default, ge=0, le=most, description=description)
+def share(default: float, description: str, *, maximum: float = 1.0):
+    """Return a field for a share or another ratio."""
+    return pydantic.Field(default, ge=0, le=maximum, description=description)
 
 
 class GateSettings(validation.StrictModel):
-    """When a balancer refuses opens; docs/POLICY.md tells how to tune it."""
+    """The admission control of a balancer for opens; docs/POLICY.md explains how to tune it."""
 
     opens_per_second: int = integer(
         5_000, "Opens carried a second; beyond it each service and caller gets a fair share."
@@ -170,28 +170,30 @@
 
 
 class SpreadingSettings(validation.StrictModel):
-    """How a sidecar spreads opens and bounds its upstream; docs/POLICY.md tells how to tune it."""
+    """Placement and limits of a sidecar; docs/POLICY.md explains how to tune them."""
 
     placement: typing.Literal[
         "power-of-two", "rendezvous", "bounded-loads", "least-of-all", "lexicographic"
     ] = pydantic.Field(
         "power-of-two", description="How it is decided whether an open is kept or passed on."
     )
-    candidates: int = integer(2, "Siblings compared for an open (power-of-two).", most=64)
+    candidates: int = integer(2, "Siblings compared for an open (power-of-two).", maximum=64)
     work_gap: float = share(
-        0.3, "Requests a slot by which a sibling must have less for an open to go there.", most=100
+        0.3,
+        "Requests a slot by which a sibling must have less for an open to go there.",
+        maximum=100,
     )
     flow_gap: float = share(0.1, "Share of flows by which it must hold fewer, with work alike.")
-    passes: int = integer(3, "How often an open is passed on at most.", least=0, most=8)
+    passes: int = integer(3, "How often an open is passed on at most.", minimum=0, maximum=8)
     report_fade: float = share(
         0.5,
         "Time in which a report fades towards the mean, in recent request times; 0 never fades.",
-        most=100,
+        maximum=100,
     )
-    report_ms: int = duration(SECOND, "How often siblings are told the load.", least=100)
+    report_ms: int = duration(SECOND, "How often siblings are told the load.", minimum=100)
     report_least_ms: int = duration(100, "Least time between two reports of changed load.")
     report_step: int = integer(2, "Change of work, in requests, that is reported early.")
-    report_fanout: int = integer(8, "Siblings that are told.", most=64)
+    report_fanout: int = integer(8, "Siblings that are told.", maximum=64)
     stale_after_ms: int = duration(3 * SECOND, "Age at which a sibling's report is ignored.")
     ramp_ms: int = duration(
         30 * SECOND, "Time in which a fresh or returning upstream gets to its whole weight."
@@ -225,7 +227,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_addresses(self) -> typing.Self:
-        """Refuse one address for both sides: callers' datagrams carry no MAC."""
+        """Refuse one address for callers and for processes: callers' datagrams carry no MAC."""
         if self.listen == self.address:
             raise ValueError("listen: must differ from address")
         return self
@@ -235,17 +237,19 @@
     """The settings of `ebonystile-sidecar`."""
 
     upstream: Url = pydantic.Field(description="URL of the upstream beside this process.")
-    slots: int = integer(2, "Requests that the upstream runs at once.", most=10_000)
-    queue_limit: int = integer(64, "Requests that may wait for a slot; more are refused.", least=0)
+    slots: int = integer(2, "Requests that the upstream runs at once.", maximum=10_000)
+    queue_limit: int = integer(
+        64, "Requests that may wait for a slot; more are refused.", minimum=0
+    )
     flow_limit: int = integer(8_000, "Flows that may have their home here; more are passed on.")
     ledger_limit: int = integer(
         50_000, "Requests remembered at once; when it is full, new requests are refused."
     )
     ledger_bytes_limit: int = integer(
-        64 << 20, "Bytes of answers and uploads remembered at once.", most=16 << 30
+        64 << 20, "Bytes of answers and uploads remembered at once.", maximum=16 << 30
     )
     flow_lease_ms: int = duration(
-        3 * MINUTE, "How long a flow stays without a sign of its caller.", least=10 * SECOND
+        3 * MINUTE, "How long a flow stays without a sign of its caller.", minimum=10 * SECOND
     )
     ledger_margin_ms: int = duration(
         10 * SECOND, "How long after its deadline a request and its answer are remembered."
@@ -269,19 +273,19 @@
         "Longest time between SIGTERM and the end of the process, which comes as soon as nothing "
         "runs and every flow is handed over; at least the furthest deadline, so that no request "
         "in progress is cut off.",
-        most=24 * 60 * MINUTE,
+        maximum=24 * 60 * MINUTE,
     )
 
     @pydantic.model_validator(mode="after")
     def check_margin(self) -> typing.Self:
-        """Refuse a margin below the skew: a caller whose clock is behind asks up to then."""
+        """Refuse a margin below the skew: callers with slow clocks may ask until then."""
         if self.ledger_margin_ms < self.skew_bound_ms:
             raise ValueError("ledger_margin_ms: must not be less than skew_bound_ms")
         return self
 
     @pydantic.model_validator(mode="after")
     def check_drain(self) -> typing.Self:
-        """Refuse a drain that could end the process while a request runs."""
+        """Refuse a drain that could end before a running request."""
         if self.drain_ms < self.max_deadline_ms:
             raise ValueError("drain_ms: must not be less than max_deadline_ms")
         return self
@@ -300,11 +304,11 @@
     )
     keys: Keys = pydantic.Field(description="Keys of the system's processes; the first one signs.")
     wait_ms: int = duration(2 * SECOND, "Longest time that one command waits for processes.")
-    parallel: int = integer(64, "Processes asked at the same time.", most=1_000)
+    parallel: int = integer(64, "Processes asked at the same time.", maximum=1_000)
 
     @pydantic.model_validator(mode="after")
     def check_source(self) -> typing.Self:
-        """Refuse settings that lead to no process at all."""
+        """Refuse settings without a source of processes."""
         if self.platform is None and not self.processes:
             raise ValueError("platform: give it, or processes, or both")
         return self
@@ -314,7 +318,7 @@
 
 
 def read(model: type[Settings], path: str | pathlib.Path) -> Settings:
-    """Return the settings in the file as `model`; raise `SettingsError` with every fault."""
+    """Return the settings in the file as `model`; raise `SettingsError` with all faults."""
     value = validation.read_json(path, step=STEP)
     return validation.validate(model, value, step=STEP, peer=str(path))
 
--- a/src/ebonystile/timeline.py
+++ b/src/ebonystile/timeline.py
@@ -1,10 +1,9 @@
 """Keep the events of a process in memory, and merge those of many into one ordered time line.
 
-No process has a disk, so each keeps its last events in a bounded ring and gives them to operators
-who ask. The merge orders by time, and repairs that order where it is known to be wrong: two
-records of one process keep its own sequence, and a record that follows from one of another process
-never comes before it, however far the two clocks are apart (Lamport, "Time, clocks, and
-the ordering of events in a distributed system", 1978).
+Processes have no disk, so each keeps its last events in a bounded ring and returns them to
+operators. Merging sorts records by time within the happened-before relation: records of one process
+keep their sequence, and an effect never precedes its cause in another process, whatever the clock
+skew (Lamport, "Time, clocks, and the ordering of events in a distributed system", 1978).
 """
 
 import collections
@@ -14,15 +13,15 @@
 import typing
 
 Fields = tuple[tuple[str, str], ...]
-"""What an event says beyond its ids, as pairs of name and text."""
+"""The fields of an event apart from its ids, as pairs of name and text."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
     """One event of one process; `time` is in ms by that process's clock.
 
-    `link` is the id of an exchange that ties records of several processes together, empty where
-    there is none; within it a record of a higher `step` follows from those of lower ones.
+    `link` is the id of an exchange between processes, empty if there is none; within an exchange,
+    records with a lower `step` are causes of those with a higher one.
     """
 
     KIND: typing.ClassVar[int] = 1
@@ -42,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Filter:
-    """Which records are wanted; an empty field takes any. Ids are matched by how they begin."""
+    """Criteria for records; an empty field matches any, and ids are matched by prefix."""
 
     flow: bytes = b""
     request: bytes = b""
@@ -51,7 +50,7 @@
     since: int = 0
 
     def matches(self, record: Record) -> bool:
-        """Tell whether the record is wanted."""
+        """Return whether the record meets all criteria."""
         return (
             record.flow.startswith(self.flow)
             and record.request.startswith(self.request)
@@ -62,7 +61,7 @@
 
 
 class EventRing:
-    """The last events of this process; threads may add and read at the same time."""
+    """The last events of this process; thread-safe."""
 
     def __init__(self, process: str, role: str, incarnation: int, limit: int):
         self.process = process
@@ -84,7 +83,7 @@
         step: int = 0,
         fields: Fields = (),
     ) -> Record:
-        """Keep one event and return its record; the oldest one goes when the ring is full."""
+        """Add one event and return its record; a full ring drops its oldest one."""
         with self.lock:
             self.sequence += 1
             record = Record(
@@ -104,18 +103,18 @@
             self.records.append(record)
         return record
 
-    def select(self, wanted: Filter, limit: int) -> list[Record]:
-        """Return the newest `limit` records that the filter takes, oldest first."""
+    def select(self, record_filter: Filter, limit: int) -> list[Record]:
+        """Return the newest `limit` records that match the filter, oldest first."""
         with self.lock:
-            present = list(self.records)
-        chosen: list[Record] = []
-        for record in reversed(present):
-            if len(chosen) >= limit:
+            records = list(self.records)
+        selected: list[Record] = []
+        for record in reversed(records):
+            if len(selected) >= limit:
                 break
-            if wanted.matches(record):
-                chosen.append(record)
-        chosen.reverse()
-        return chosen
+            if record_filter.matches(record):
+                selected.append(record)
+        selected.reverse()
+        return selected
 
 
 def make_ring(process: str, role: str, incarnation: int, limit: int) -> EventRing:
@@ -124,10 +123,10 @@
 
 
 def merge(records: typing.Iterable[Record]) -> list[Record]:
-    """Return the records in one order: by time, but never an effect before its cause.
+    """Return the distinct records in topological order, by time where it leaves a choice.
 
-    A record whose cause is later by its clock is put right after the cause. Where causes form a
-    circle (ids used twice), the earliest by time goes first, so every record comes out once.
+    A record that precedes its cause by its clock is placed after the cause. A cycle, which ids used
+    twice can cause, is broken at its oldest record.
     """
     ordered = sorted(set(records), key=sort_key)
     effects, waiting = causal_graph(ordered)
@@ -152,12 +151,12 @@
 
 
 def sort_key(record: Record) -> tuple[int, str, int, int]:
-    """Return what records are sorted by where nothing is known of cause and effect."""
+    """Return the key by which causally unrelated records are sorted."""
     return record.time, record.process, record.incarnation, record.sequence
 
 
 def causal_graph(ordered: list[Record]) -> tuple[list[list[int]], list[int]]:
-    """Return the effects of each record by number, and how many causes each one waits for."""
+    """Return the effects of each record by index, and the number of causes of each record."""
     effects: list[list[int]] = [[] for _ in ordered]
     waiting = [0] * len(ordered)
     for cause, effect in [*process_order(ordered), *link_order(ordered)]:
@@ -167,7 +166,7 @@
 
 
 def process_order(ordered: list[Record]) -> list[tuple[int, int]]:
-    """Return pairs of neighbours in the sequence of each start of each process."""
+    """Return pairs of adjacent records in the sequence of each incarnation of each process."""
     by_process = collections.defaultdict(list)
     for number, record in enumerate(ordered):
         by_process[record.process, record.incarnation].append(number)
@@ -179,7 +178,7 @@
 
 
 def link_order(ordered: list[Record]) -> list[tuple[int, int]]:
-    """Return pairs of records of the same exchange, each with one of the step before."""
+    """Return pairs of records of the same exchange, each with one of a lower step."""
     by_link = collections.defaultdict(list)
     for number, record in enumerate(ordered):
         if record.link:
--- a/src/ebonystile/validation.py
+++ b/src/ebonystile/validation.py
@@ -1,4 +1,4 @@
-"""Read JSON with comments into pydantic models, and tell every fault at once by its path."""
+"""Read JSON with comments into pydantic models, and report all faults at once with their paths."""
 
 import difflib
 import json
@@ -14,17 +14,17 @@
 Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
 MAX_FILE_BYTES = 1 << 20
-"""Largest file read; the platform's values are no larger either."""
+"""Largest file read; the platform's values have the same bound."""
 
 
 class StrictModel(pydantic.BaseModel):
-    """Base of every model at the border: no unknown keys, no silent conversions, no changes."""
+    """Base of models of external data: no unknown keys, no implicit conversions, immutable."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 def read_json(path: str | pathlib.Path, *, step: str) -> typing.Any:
-    """Return what the file holds; raise `SettingsError` if it can't be read or parsed."""
+    """Return the value in a JSON file; raise `SettingsError` if it can't be read or parsed."""
     peer = str(path)
     try:
         with open(path, "rb") as file:
@@ -38,10 +38,10 @@
 
 
 def parse_json(data: bytes, *, step: str, peer: str) -> typing.Any:
-    """Return the value that the JSON with comments in `data` stands for.
+    """Return the value of the JSON with comments in `data`; raise `SettingsError` if invalid.
 
-    A key given twice is refused: whichever of the two was in force would surprise somebody. The
-    library for JSON with comments needs seconds for a large document, so plain JSON goes first.
+    Duplicate keys are refused, since it is ambiguous which one is meant. Plain JSON is tried first:
+    the parser of JSON with comments takes seconds for a large document.
     """
     try:
         text = data.decode()
@@ -56,7 +56,7 @@
 
 
 def reject_duplicate_keys(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
-    """Return the object of these pairs; raise `ValueError` where a key is given twice."""
+    """Return the object of these pairs; raise `ValueError` if a key occurs twice."""
     value = dict(pairs)
     if len(value) < len(pairs):
         names = [name for name, _ in pairs]
@@ -66,7 +66,7 @@
 
 
 def reject_constant(name: str) -> typing.Any:
-    """Refuse NaN and the infinities, which are not JSON (RFC 8259 section 6)."""
+    """Raise `ValueError` for NaN and the infinities, which are not JSON (RFC 8259 section 6)."""
     raise ValueError(f"{name} is not a number")
 
 
@@ -80,7 +80,7 @@
 
 
 def describe_fault(model: type[pydantic.BaseModel], detail: typing.Mapping[str, typing.Any]) -> str:
-    """Return one fault as `path: what is wrong`."""
+    """Return one fault as `path: reason`."""
     location = detail["loc"]
     where = format_path(location)
     if detail["type"] == "extra_forbidden":
@@ -92,7 +92,7 @@
 
 
 def format_path(location: tuple[str | int, ...]) -> str:
-    """Return a location such as `keys[0].secret`."""
+    """Return a location in a form such as `keys[0].secret`."""
     path = ""
     for step in location:
         path += f"[{step}]" if isinstance(step, int) else f".{step}"
@@ -100,7 +100,7 @@
 
 
 def suggest_key(model: type[pydantic.BaseModel], location: tuple[str | int, ...]) -> str:
-    """Return the nearest known key to the unknown one at `location`, as the end of a sentence."""
+    """Return a hint with the known key closest to the unknown one at `location`."""
     parent = model_at(model, location[:-1])
     if parent is None:
         return ""
@@ -109,7 +109,7 @@
 
 
 def model_at(annotation: typing.Any, location: tuple[str | int, ...]) -> typing.Any:
-    """Return the model that a location leads to, or None where the way isn't through models."""
+    """Return the model at a location, or None if the location does not lead to a model."""
     annotation = unwrap(annotation)
     if not location:
         return annotation if is_model(annotation) else None
@@ -122,7 +122,7 @@
 
 
 def unwrap(annotation: typing.Any) -> typing.Any:
-    """Return an annotation without `Annotated` and without `| None`."""
+    """Return an annotation without `Annotated` and `| None`."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
         return unwrap(typing.get_args(annotation)[0])
@@ -133,5 +133,5 @@
 
 
 def is_model(annotation: typing.Any) -> bool:
-    """Tell whether the annotation is a pydantic model."""
+    """Return whether the annotation is a pydantic model."""
     return isinstance(annotation, type) and issubclass(annotation, pydantic.BaseModel)
--- a/src/ebonystile/webclient.py
+++ b/src/ebonystile/webclient.py
@@ -1,4 +1,4 @@
-"""Exchange HTTP/1.1 with outside systems: deadlines, bounded bodies, and never a second try."""
+"""HTTP/1.1 client for external systems, with deadlines and bounded bodies, without retries."""
 
 import dataclasses
 import typing
@@ -8,19 +8,19 @@
 from ebonystile import clock, errors
 
 MIN_TIMEOUT_S = 0.001
-"""Shortest timeout in seconds; a deadline that has passed is checked before anything is sent."""
+"""Smallest timeout in seconds; with less time left, nothing is sent."""
 
 CHUNK_BYTES = 1 << 16
 
 Clock = typing.Callable[[], int]
 
 ErrorMaker = typing.Callable[[str, bool], errors.EbonystileError]
-"""Make the peer's error from a reason and whether the request may have reached the peer."""
+"""Return an error from a reason and from whether the request may have reached the server."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """An HTTP response, read whole."""
+    """An HTTP response with its complete body."""
 
     status: int
     headers: typing.Mapping[str, str]
@@ -28,7 +28,7 @@
 
 
 class Client:
-    """Speak with one HTTP server over a pool of kept connections.
+    """Client of one HTTP server with a pool of persistent connections.
 
     With `block`, a call waits for one of the `connections`; else it opens another one.
     """
@@ -50,10 +50,10 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> Response:
-        """Send one request and read its answer of at most `limit` bytes before the deadline.
+        """Send one request and return its response of at most `limit` bytes before the deadline.
 
-        A kept connection that the server closes in this very moment fails too: nobody can tell
-        whether the server read the request, so it is reported as possibly sent, never repeated.
+        The request is not retried, even if the server closes a persistent connection as the
+        request is sent: the server may have read it, so the error reports it as possibly sent.
         """
         seconds = (deadline - self.now()) / 1000
         if seconds < MIN_TIMEOUT_S:
@@ -87,7 +87,7 @@
     def read(
         self, response: urllib3.BaseHTTPResponse, deadline: int, limit: int, fail: ErrorMaker
     ) -> bytes:
-        """Read the whole body; a connection that is not read to its end is closed."""
+        """Return the whole body; close the connection if the body is not read to its end."""
         parts = []
         size = 0
         try:
@@ -108,5 +108,5 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the persistent connections."""
         self.pool.close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -53,7 +53,7 @@
 
 def test_metrics_and_health():
     healthy = [True]
-    with serving(healthy=lambda: healthy[0]) as running:
+    with serving(is_healthy=lambda: healthy[0]) as running:
         assert get(running, "/metrics") == (200, server.METRICS_CONTENT_TYPE, b"a_total 1.0\n")
         assert get(running, "/healthz")[0] == 200
         healthy[0] = False
