--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Check what a process answers to operators, from the state of its core."""
+"""Check the answers of a process to operators' questions."""
 
 import random
 
@@ -52,7 +52,7 @@
     assert status.now - status.started == 60_000
 
 
-def test_a_flow_that_was_handed_over_is_not_counted():
+def test_status_excludes_flows_handed_over():
     process = make_process(answers.SIDECAR)
     hold_flow(process).moved_to = UPSTREAMS[2]
     assert answers.answer(messages.StatusRequest(ID), process).flows == 0
@@ -86,35 +86,35 @@
         (GONE, "", "the token's upstream is not in this view"),
     ],
 )
-def test_explain_says_where_a_token_leads(token, sends_to, why):
+def test_explain_maps_a_token_to_its_upstream(token, sends_to, why):
     question = messages.ExplainRequest(ID, "s", FLOW, token)
-    found = answers.answer(question, make_process(answers.BALANCER))
-    assert (found.sends_to, found.holds, found.known) == (sends_to, messages.ABSENT, True)
-    assert found.why.startswith(why)
-    assert set(found.ranking) == {"u1", "u3"} and found.leaving == ("u2",)
+    reply = answers.answer(question, make_process(answers.BALANCER))
+    assert (reply.sends_to, reply.holds, reply.known) == (sends_to, messages.ABSENT, True)
+    assert reply.why.startswith(why)
+    assert set(reply.ranking) == {"u1", "u3"} and reply.leaving == ("u2",)
 
 
-def test_explain_says_who_holds_a_flow():
+def test_explain_reports_the_status_of_a_flow():
     process = make_process(answers.SIDECAR)
     question = messages.ExplainRequest(ID, "s", FLOW, b"")
     assert answers.answer(question, process).holds == messages.ABSENT
     flow = hold_flow(process)
     assert answers.answer(question, process).holds == messages.HOME
     flow.handover = flows.Handover(ID, UPSTREAMS[2], 9)
-    found = answers.answer(question, process)
-    assert (found.holds, found.target) == (messages.FENCED, "u3")
+    reply = answers.answer(question, process)
+    assert (reply.holds, reply.target) == (messages.FENCED, "u3")
     flow.moved_to = UPSTREAMS[0]
-    found = answers.answer(question, process)
-    assert (found.holds, found.target) == (messages.MOVED, "u1")
+    reply = answers.answer(question, process)
+    assert (reply.holds, reply.target) == (messages.MOVED, "u1")
 
 
 def test_explain_of_an_unknown_service():
     question = messages.ExplainRequest(ID, "none", FLOW, HOME)
-    found = answers.answer(question, make_process(answers.SIDECAR))
-    assert (found.known, found.ranking) == (False, ())
+    reply = answers.answer(question, make_process(answers.SIDECAR))
+    assert (reply.known, reply.ranking) == (False, ())
 
 
-def test_a_process_names_the_others():
-    found = answers.answer(messages.ProcessesRequest(ID), make_process(answers.BALANCER))
-    assert ("10.0.0.9:2", "balancer", ("10.0.0.9", 2)) in found.processes
-    assert ("u3", "sidecar", ("10.0.0.3", 1)) in found.processes
+def test_processes_lists_balancers_and_sidecars():
+    reply = answers.answer(messages.ProcessesRequest(ID), make_process(answers.BALANCER))
+    assert ("10.0.0.9:2", "balancer", ("10.0.0.9", 2)) in reply.processes
+    assert ("u3", "sidecar", ("10.0.0.3", 1)) in reply.processes
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Check that repeats stay a small share of first tries and do not come in step."""
+"""Check that retries stay a small share of first attempts and are not synchronized."""
 
 import random
 
@@ -6,24 +6,24 @@
 
 
 def test_outage_does_not_multiply_the_load():
-    """Every request fails for a minute and each would be repeated at once.
+    """Guards against a retry storm when every request fails.
 
-    Ten saved repeats and one each 5 s go out, whatever the number of first tries.
+    The ten saved retries and one every 5 s are sent, whatever the number of first attempts.
     """
-    purse = budget.Budget(budget.Allowance(share=0.1, trickle=0.2, most=10), 0)
-    spent = sum(purse.spend(now) for now in range(0, 60_000, 10))
+    retry_budget = budget.Budget(budget.Allowance(share=0.1, trickle=0.2, most=10), 0)
+    spent = sum(retry_budget.spend(now) for now in range(0, 60_000, 10))
     assert spent == 10 + 11
 
 
-def test_successes_earn_repeats_up_to_a_bound():
-    purse = budget.Budget(budget.Allowance(share=0.1, trickle=0, most=2), 0)
-    assert [purse.spend(0) for _ in range(3)] == [True, True, False]
+def test_successes_earn_retries_up_to_a_bound():
+    retry_budget = budget.Budget(budget.Allowance(share=0.1, trickle=0, most=2), 0)
+    assert [retry_budget.spend(0) for _ in range(3)] == [True, True, False]
     for _ in range(1000):
-        purse.succeeded()
-    assert [purse.spend(0) for _ in range(3)] == [True, True, False]
+        retry_budget.succeeded()
+    assert [retry_budget.spend(0) for _ in range(3)] == [True, True, False]
 
 
-def test_backoff_grows_to_its_bound_and_parts_callers():
+def test_backoff_grows_to_its_bound_and_is_jittered():
     chance = random.Random(1)
     backoffs = [budget.Backoff(base=50, most=5000) for _ in range(200)]
     waits = [b.next_at(0, chance) for b in backoffs]
@@ -33,6 +33,6 @@
     assert sum(late) > 3 * sum(waits)
 
 
-def test_time_named_by_a_refusal_is_never_anticipated():
+def test_retry_is_never_before_the_time_of_a_refusal():
     backoff = budget.Backoff(base=50)
     assert all(9000 <= backoff.next_at(0, random.Random(i), 9000) <= 9050 for i in range(50))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Check that the codec returns what it was given and refuses everything else."""
+"""Check that the codec decodes what it encoded and refuses invalid input."""
 
 import dataclasses
 import typing
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Check with real processes that the configuration comes through outages, kills and pauses."""
+"""Check with real processes that configuration survives outages, kills and pauses."""
 
 import signal
 import time
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """Four balancers of one zone, each knowing the first two as its seeds."""
+    """Four balancers of one zone, with the first two as seeds."""
 
     def __init__(self, children):
         self.system = system.System(children)
@@ -34,11 +34,11 @@
         value = {"services": {"line": {"address": "10.1.0.1:443", "selector": {"app": app}}}}
         self.revision = processes.publish_value(self.system.platform, "services/00", value)
 
-    def mode(self, **fields):
+    def set_platform_mode(self, **fields):
         self.system.platform.post("standin/mode", fields)
 
-    def shown(self, entry):
-        """Return the answer to a pull from scratch: whether caught up, and the revision."""
+    def pull_revision(self, entry):
+        """Return whether a process has caught up, and its revision, from a pull of everything."""
         key = seal.Key(1, bytes.fromhex(self.system.key))
         own = seal.Seal([key], incarnation=clock.now())
         question = own.seal(
@@ -52,15 +52,15 @@
         reply = control.CONTROL.from_items(own.open(answer).body)
         return reply.caught_up, control.unpack_update(reply.update).values.complete_revision
 
-    def wait_all(self, entries):
+    def wait_for_revision(self, entries):
         for entry in entries:
-            wait_until(lambda entry=entry: self.shown(entry) == (True, self.revision))
+            wait_until(lambda entry=entry: self.pull_revision(entry) == (True, self.revision))
 
 
-def wait_until(true):
-    give_up = time.monotonic() + BOUND_S
-    while not true():
-        assert time.monotonic() < give_up, "it did not come true in time"
+def wait_until(condition):
+    give_up_at = time.monotonic() + BOUND_S
+    while not condition():
+        assert time.monotonic() < give_up_at, "the condition did not become true in time"
         time.sleep(0.1)
 
 
@@ -70,78 +70,78 @@
 
 
 def test_start_during_a_platform_outage_takes_the_peers_configuration(fleet):
-    """The platform goes down, then a balancer is replaced: callers must not notice."""
-    fleet.mode(mode="down")
+    """Guards against a balancer without a view when it starts during an outage of the platform."""
+    fleet.set_platform_mode(mode="down")
     late = fleet.start("late")
-    assert fleet.shown(late) == (True, fleet.revision)
+    assert fleet.pull_revision(late) == (True, fleet.revision)
 
 
 def test_start_from_a_stale_platform_takes_the_peers_higher_revision(fleet):
-    """The platform's replica shows revision 1 again when a balancer starts."""
+    """Guards against a balancer that starts with the old revision of a stale replica."""
     old = fleet.revision
     fleet.publish("second")
-    fleet.wait_all(fleet.system.balancers.values())
-    fleet.mode(mode="stale", revision=old)
+    fleet.wait_for_revision(fleet.system.balancers.values())
+    fleet.set_platform_mode(mode="stale", revision=old)
     late = fleet.start("late")
-    assert fleet.shown(late) == (True, fleet.revision)
+    assert fleet.pull_revision(late) == (True, fleet.revision)
 
 
-def test_change_is_taken_though_the_watchers_were_killed(fleet):
-    """Both processes that watch the platform are killed; then a change is published.
+def test_change_arrives_though_the_watchers_were_killed(fleet):
+    """Guards against a change that is missed because all watchers of the platform died.
 
-    The others see that the platform's last word grows old, and one of them begins to watch.
+    The other processes see the last confirmation age, and one of them takes over the watch.
     """
     epoch = clock.now() // 600_000
     names = sorted(fleet.system.balancers, key=lambda n: watching.weight(n, epoch), reverse=True)
     for name in names[:2]:
         fleet.system.balancers[name].child.kill()
     fleet.publish("second")
-    fleet.wait_all(fleet.system.balancers[name] for name in names[2:])
+    fleet.wait_for_revision(fleet.system.balancers[name] for name in names[2:])
 
 
-def test_paused_process_does_not_serve_until_someone_answers(fleet):
-    """A balancer wakes from a pause while no one answers it, so it cannot know what it missed.
+def test_paused_process_does_not_serve_until_its_view_is_confirmed(fleet):
+    """Guards against routing by a stale view after a pause.
 
-    It must hand no packet on by its old view: its health says 503. Once the platform is back it
-    catches up and serves again.
+    While neither the platform nor a peer answers, `/healthz` returns 503; once the platform is
+    back, the balancer catches up and serves again.
     """
     paused, *others = fleet.system.balancers.values()
     paused.child.signal(signal.SIGSTOP)
     fleet.publish("second")
-    fleet.wait_all(others)
-    fleet.mode(mode="down")
+    fleet.wait_for_revision(others)
+    fleet.set_platform_mode(mode="down")
     for entry in others:
         entry.child.signal(signal.SIGSTOP)
     time.sleep(3)
     paused.child.signal(signal.SIGCONT)
-    wait_until(lambda: not healthy(paused))
-    fleet.mode(mode="up")
+    wait_until(lambda: not is_healthy(paused))
+    fleet.set_platform_mode(mode="up")
     for entry in others:
         entry.child.signal(signal.SIGCONT)
-    fleet.wait_all([paused, *others])
-    wait_until(lambda: healthy(paused))
+    fleet.wait_for_revision([paused, *others])
+    wait_until(lambda: is_healthy(paused))
 
 
-def test_process_that_does_not_answer_is_suspected_and_nothing_else_happens(fleet):
-    """The list names balancers that never answer: they died, or a partition is in the way.
+def test_unresponsive_process_is_suspected_and_the_others_stay_healthy(fleet):
+    """Guards against peers that become unhealthy because listed balancers never answer.
 
-    The others suspect them, tell operators so, and go on.
+    The suspicion is visible in the metrics.
     """
     for number in range(2):
         fleet.system.enlist(f"ghost-{number}", "balancer", system.free_port(), ZONE)
     entries = fleet.system.balancers.values()
-    told = 'ebonystile_events_total{event="suspected"}'
-    wait_until(lambda: any(told in metrics_of(entry) for entry in entries))
-    assert all(healthy(entry) for entry in entries)
+    suspected_count = 'ebonystile_events_total{event="suspected"}'
+    wait_until(lambda: any(suspected_count in metrics_of(entry) for entry in entries))
+    assert all(is_healthy(entry) for entry in entries)
 
 
 def metrics_of(entry):
-    """Return the metrics of a process."""
+    """Return the metrics text of a process."""
     url = f"http://127.0.0.1:{entry.port}/metrics"
     return system.HTTP.request("GET", url).data.decode()
 
 
-def healthy(entry):
-    """Tell whether the process says that it may be handed packets."""
+def is_healthy(entry):
+    """Return whether the process reports itself healthy on `/healthz`."""
     url = f"http://127.0.0.1:{entry.port}/healthz"
     return system.HTTP.request("GET", url).status == 200
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Give the codecs of every family any bytes: they return a checked message or one typed error."""
+"""Check that the codecs of all families return a valid message or raise one type of error."""
 
 import contextlib
 import dataclasses
@@ -33,7 +33,7 @@
 
 
 def values_of(annotation):
-    """Return a strategy for the values that fit an annotation."""
+    """Return a strategy for the values of an annotated type."""
     if annotation in SIMPLE:
         return SIMPLE[annotation]
     arguments = typing.get_args(annotation)
@@ -49,8 +49,8 @@
     return st.builds(message_type, **fields)
 
 
-def refused_or_whole(family, data):
-    """Decode bytes that may be anything; a message that comes out must encode again."""
+def check_refused_or_valid(family, data):
+    """Decode arbitrary bytes; a decoded message must survive a round trip."""
     with contextlib.suppress(errors.DatagramError):
         message = family.decode(data)
         assert family.decode(family.encode(message)) == message
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize(("family", "message_type"), KINDS)
 @given(data=st.data())
-def test_every_message_survives_the_wire_and_its_damage(family, message_type, data):
+def test_every_message_survives_a_round_trip_and_damage_is_refused(family, message_type, data):
     message = data.draw(messages_of(message_type))
     encoded = family.encode(message)
     assert family.decode(encoded) == message
@@ -69,7 +69,7 @@
         family.decode(encoded + encoded)
     place = data.draw(st.integers(0, len(encoded) - 1))
     value = data.draw(st.integers(0, 255))
-    refused_or_whole(family, encoded[:place] + bytes([value]) + encoded[place + 1 :])
+    check_refused_or_valid(family, encoded[:place] + bytes([value]) + encoded[place + 1 :])
     with pytest.raises(errors.DatagramError):
         family.decode(encoded.ljust(codec.MAX_DATAGRAM_BYTES + 1, b"\0"))
 
@@ -83,9 +83,9 @@
 
 @pytest.mark.parametrize("family", FAMILIES, ids=lambda family: family.family)
 @given(data=st.binary(max_size=100), items=FOREIGN)
-def test_foreign_bytes_and_foreign_cbor_are_refused(family, data, items):
-    refused_or_whole(family, data)
-    refused_or_whole(family, cbor2.dumps(items))
+def test_arbitrary_bytes_and_cbor_are_refused(family, data, items):
+    check_refused_or_valid(family, data)
+    check_refused_or_valid(family, cbor2.dumps(items))
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 
 
 @given(FORWARDS)
-def test_every_forward_survives_the_wire_and_a_cut_header_does_not(message):
+def test_every_forward_survives_a_round_trip_and_a_cut_header_is_refused(message):
     content = peer_messages.pack_forward(message)
     assert peer_messages.unpack(content) == message
     header = len(content) - len(message.payload)
@@ -127,7 +127,7 @@
 
 
 @given(RETURNS)
-def test_every_return_survives_the_wire_and_a_cut_header_does_not(message):
+def test_every_return_survives_a_round_trip_and_a_cut_header_is_refused(message):
     content = peer_messages.pack_return(message)
     assert peer_messages.unpack(content) == message
     for cut in range(len(content) - len(message.payload)):
@@ -136,7 +136,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_foreign_content_of_the_packet_path_is_refused_or_whole(content):
+def test_arbitrary_content_of_the_packet_path_is_refused_or_valid(content):
     with contextlib.suppress(errors.DatagramError):
         message = peer_messages.unpack(content)
         is_forward = isinstance(message, peer_messages.Forward)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Check that a bug in the thread that decides ends the whole process."""
+"""Check the exit of a process: on a bug in the owner thread, and on late signals."""
 
 import subprocess
 import sys
@@ -16,7 +16,7 @@
 
 
 def test_a_bug_ends_the_process():
-    """The core raises while another thread lives: the process says why and is gone at once."""
+    """Guards against a process that lives on in other threads after its owner thread failed."""
     done = subprocess.run(
         [sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=60, check=False
     )
@@ -41,11 +41,10 @@
 """
 
 
-def test_a_sigterm_during_the_last_moments_changes_nothing():
-    """The process has left gracefully and is ending; another SIGTERM comes as Python goes down.
+def test_a_sigterm_during_exit_changes_nothing():
+    """Guards against a crash status after a graceful stop.
 
-    By then Python has put the default action back in place of its handlers, so the process would
-    end with a status that looks like a crash.
+    At exit Python restores the default action of SIGTERM, so a late one would end the process.
     """
     done = subprocess.run([sys.executable, "-c", LATE_SIGTERM], timeout=60, check=False)
     assert done.returncode == 0
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Check the form of log lines: key=value pairs, one line whatever the values hold."""
+"""Check the format of log lines: key=value pairs, one line per event for any values."""
 
 import pytest
 
--- a/tests/test_processes_faults.py
+++ b/tests/test_processes_faults.py
@@ -1,4 +1,4 @@
-"""Kill, stop and cut off real processes; every wait is bounded, the upstreams count each run."""
+"""Kill, stop and cut off real processes; the upstreams count how often each request runs."""
 
 import concurrent.futures
 import contextlib
@@ -37,7 +37,7 @@
     yield made
     made.caller.close()
     for sidecar in made.sidecars:
-        # Told to stop together they would wait for one another, with nobody to hand a flow to.
+        # Stopped together they would wait until the drain times out, without a target for flows.
         sidecar.child.kill()
 
 
@@ -46,15 +46,15 @@
 
 
 def runs_of(running, request):
-    """Return how often a request was run, over all upstreams that still answer."""
+    """Return how often a request was run, over all live upstreams."""
     found = [s.upstream.get("standin/runs")["runs"] for s in running.sidecars if s.upstream]
     return sum(runs.get(request.hex(), 0) for runs in found)
 
 
-def where_it_runs(running, request):
-    """Return the sidecar whose upstream has begun a request, once one has."""
-    give_up = time.monotonic() + WAIT_S
-    while time.monotonic() < give_up:
+def wait_for_run(running, request):
+    """Wait until an upstream has begun a request; return its sidecar."""
+    give_up_at = time.monotonic() + WAIT_S
+    while time.monotonic() < give_up_at:
         for sidecar in running.sidecars:
             if request.hex() in sidecar.upstream.get("standin/runs")["runs"]:
                 return sidecar
@@ -62,17 +62,17 @@
     raise AssertionError("the request was not run in time")
 
 
-def begin(flow, deadline):
-    """Send a request that must not be repeated; return its future once its id is known."""
+def submit_request(flow, deadline):
+    """Send a request that is not idempotent; return its future once its id is known."""
     future = flow.submit("demands", b"offset", deadline, idempotent=False)
-    give_up = time.monotonic() + WAIT_S
-    while not hasattr(future, "request") and time.monotonic() < give_up:
+    give_up_at = time.monotonic() + WAIT_S
+    while not hasattr(future, "request") and time.monotonic() < give_up_at:
         time.sleep(0.005)
     return future
 
 
-def assert_truthful(running, request, result):
-    """Check the final word against what the upstreams counted."""
+def assert_outcome_matches_runs(running, request, result):
+    """Check a request's outcome against the upstreams' counts of its runs."""
     runs = runs_of(running, request)
     assert runs <= 1
     if result.outcome is progress.Outcome.NOT_RUN:
@@ -82,40 +82,36 @@
 
 
 def next_positions(feed, count):
-    """Return the next events' positions; None stands for one that did not come in time."""
+    """Return the positions of the next events; None for an event that timed out."""
     events = [feed.next(soon(WAIT_S * 1000)) for _ in range(count)]
     return [event and event.position for event in events]
 
 
 def test_killed_balancer_costs_no_flow(running):
-    """One of two balancers is killed while a request runs and a feed goes on.
-
-    Its packets are lost; the copies and the answers go by the other one.
-    """
+    """Guards against lost answers or feed events when one of two balancers is killed."""
     flow = running.caller.open("ledger", soon())
     feed = flow.subscribe("balances", 100)
     first = next_positions(feed, 1)[0]
-    future = begin(flow, soon())
-    where_it_runs(running, future.request)
+    future = submit_request(flow, soon())
+    wait_for_run(running, future.request)
     killed = running.balancers.pop("entry-0")
     killed.child.signal(signal.SIGKILL)
     result = future.result(WAIT_S)
     assert result.outcome is progress.Outcome.ANSWERED
-    assert_truthful(running, future.request, result)
+    assert_outcome_matches_runs(running, future.request, result)
     assert next_positions(feed, 30) == list(range(first + 1, first + 31))
 
 
-def test_killed_sidecar_leaves_doubt_and_no_second_run(running):
-    """The sidecar that runs a demand is killed and comes back as a new incarnation.
+def test_killed_sidecar_gives_an_unknown_outcome_and_no_second_run(running):
+    """Guards against a second run of a request whose sidecar was killed and restarted.
 
-    Nobody can tell any more whether the demand was run: the caller hears exactly that, and no
-    other upstream runs it. The feed goes on where it stood.
+    Its outcome is unknown; the feed goes on without a gap.
     """
     flow = running.caller.open("ledger", soon())
     feed = flow.subscribe("balances", 100)
     first = next_positions(feed, 1)[0]
-    future = begin(flow, soon(8_000))
-    home = where_it_runs(running, future.request)
+    future = submit_request(flow, soon(8_000))
+    home = wait_for_run(running, future.request)
     home.child.signal(signal.SIGKILL)
     home.child.wait()
     name = f"{home.name}-again"
@@ -131,12 +127,12 @@
     assert next_positions(feed, 30) == list(range(first + 1, first + 31))
 
 
-def test_killed_upstream_leaves_doubt_at_once(running):
-    """The upstream dies while it runs a demand; its sidecar says at once what it knows."""
+def test_killed_upstream_gives_an_unknown_outcome_at_once(running):
+    """Guards against waiting for the deadline when an upstream dies while it runs a request."""
     flow = running.caller.open("ledger", soon())
     deadline = soon()
-    future = begin(flow, deadline)
-    home = where_it_runs(running, future.request)
+    future = submit_request(flow, deadline)
+    home = wait_for_run(running, future.request)
     home.upstream.signal(signal.SIGKILL)
     home.upstream = None
     result = future.result(WAIT_S)
@@ -146,89 +142,82 @@
 
 
 def test_sidecar_stopped_past_the_deadline_runs_nothing_late(running):
-    """Every sidecar is stopped; a demand waits in its socket past the deadline, then they wake.
+    """Guards against running a request that waited in a stopped sidecar's socket past its deadline.
 
-    The caller has a final word by then, and the demand never runs.
+    All sidecars are stopped and continued; the request has its outcome by then and never runs.
     """
     flow = running.caller.open("ledger", soon())
-    first = begin(flow, soon())
+    first = submit_request(flow, soon())
     assert first.result(WAIT_S).outcome is progress.Outcome.ANSWERED
     for sidecar in running.sidecars:
         sidecar.child.signal(signal.SIGSTOP)
-    future = begin(flow, soon(1_000))
+    future = submit_request(flow, soon(1_000))
     with pytest.raises(concurrent.futures.TimeoutError):
         future.result(1.5)
     for sidecar in running.sidecars:
         sidecar.child.signal(signal.SIGCONT)
     result = future.result(WAIT_S)
     assert result.outcome is not progress.Outcome.ANSWERED
-    after = begin(flow, soon())
-    assert_truthful(running, after.request, after.result(WAIT_S))
+    after = submit_request(flow, soon())
+    assert_outcome_matches_runs(running, after.request, after.result(WAIT_S))
     assert runs_of(running, future.request) == 0
 
 
 def test_sidecar_stopped_while_it_runs_a_demand(running):
-    """The home is stopped while its upstream runs a demand and woken before the deadline.
-
-    The upstream's answer waits in the socket; the caller gets it, and it ran once.
-    """
+    """Guards against a lost answer when the flow's home is paused while a request runs."""
     flow = running.caller.open("ledger", soon())
-    future = begin(flow, soon(20_000))
-    home = where_it_runs(running, future.request)
+    future = submit_request(flow, soon(20_000))
+    home = wait_for_run(running, future.request)
     home.child.signal(signal.SIGSTOP)
     time.sleep(4)
     home.child.signal(signal.SIGCONT)
     result = future.result(WAIT_S)
     assert result.outcome is progress.Outcome.ANSWERED
-    assert_truthful(running, future.request, result)
+    assert_outcome_matches_runs(running, future.request, result)
 
 
 def test_platform_outage_stops_nothing(running):
-    """The platform answers nobody, then an older revision; new flows and demands go on.
-
-    Meanwhile one sidecar is told to stop: it drains and hands its flows over all the same.
-    """
+    """Guards against a platform outage, and then a stale replica, that stops flows or a drain."""
     flow = running.caller.open("ledger", soon())
     feed = flow.subscribe("balances", 100)
     first = next_positions(feed, 1)[0]
     running.platform.post("standin/mode", {"mode": "down"})
-    future = begin(flow, soon())
-    home = where_it_runs(running, future.request)
+    future = submit_request(flow, soon())
+    home = wait_for_run(running, future.request)
     home.child.signal(signal.SIGTERM)
     assert future.result(WAIT_S).outcome is progress.Outcome.ANSWERED
     assert home.child.wait(WAIT_S) == 0
     running.platform.post("standin/mode", {"mode": "older", "revision": 1})
     other = running.caller.open("ledger", soon())
     for used in (flow, other):
-        demand = begin(used, soon())
+        demand = submit_request(used, soon())
         result = demand.result(WAIT_S)
         assert result.outcome is progress.Outcome.ANSWERED
-        assert_truthful(running, demand.request, result)
+        assert_outcome_matches_runs(running, demand.request, result)
     assert next_positions(feed, 30) == list(range(first + 1, first + 31))
 
 
 def test_cut_ports_of_balancers_cost_no_flow(running):
-    """Half of the ports that packets are handed to are cut: nothing listens there any more.
+    """Guards against lost flows when nothing listens on half of the balancers' ports.
 
-    What goes there is lost. Copies take the other ways, so a feed goes on without a gap and a
-    report that must not be repeated runs once and is answered.
+    Copies of the packets reach the other balancers: the request runs once, the feed has no gap.
     """
     cut = [("127.0.0.1", system.free_port()) for _ in running.balancers]
     half = client.make_caller([*running.addresses(), *cut])
     with contextlib.closing(half):
         flow = half.open("ledger", soon())
         feed = flow.subscribe("balances", 900)
-        future = begin(flow, soon(WAIT_S * 1000))
+        future = submit_request(flow, soon(WAIT_S * 1000))
         result = future.result(WAIT_S + 5)
         assert result.outcome is progress.Outcome.ANSWERED
-        assert_truthful(running, future.request, result)
+        assert_outcome_matches_runs(running, future.request, result)
         assert next_positions(feed, 20) == list(range(901, 921))
         flow.close()
 
 
 @pytest.fixture
 def behind_cutter(children):
-    """Run a ledger of one upstream whose port the sidecar reaches through a cutter."""
+    """Run a ledger of one upstream; its sidecar connects to it through a cutter."""
     made = system.System(children)
     made.publish_services({"ledger": {"app": "ledger"}})
     upstream = children.start_upstream("ledger-0", "ledger", "--service-ms", 1_000)
@@ -246,34 +235,33 @@
     made.cutter.cut()
 
 
-def test_cut_port_of_an_upstream_is_told_truthfully(behind_cutter):
-    """The way from a sidecar to its upstream breaks while a demand runs, and comes back later.
+def test_outcomes_are_truthful_when_an_upstreams_port_is_cut(behind_cutter):
+    """Guards against wrong outcomes when the connection from a sidecar to its upstream breaks.
 
-    The demand under way ends as unknown at once, since it may run on. One that meets the closed
-    port was never sent, so its caller hears that it was not run. After the cut demands run again,
-    each once.
+    The outcome of the running request is unknown at once; one that was never sent was not run.
+    Once the connection is back, requests run again, each once.
     """
     running = behind_cutter
     flow = running.caller.open("ledger", soon())
-    under_way = begin(flow, soon(WAIT_S * 1000))
-    where_it_runs(running, under_way.request)
+    under_way = submit_request(flow, soon(WAIT_S * 1000))
+    wait_for_run(running, under_way.request)
     running.cutter.cut()
     assert under_way.result(WAIT_S).outcome is progress.Outcome.UNKNOWN
-    refused = begin(flow, soon(WAIT_S * 1000))
+    refused = submit_request(flow, soon(WAIT_S * 1000))
     assert refused.result(WAIT_S).outcome is progress.Outcome.NOT_RUN
     running.cutter.heal()
-    assert_truthful(running, under_way.request, under_way.result())
-    assert_truthful(running, refused.request, refused.result())
-    assert answered_once_healed(running, flow)
+    assert_outcome_matches_runs(running, under_way.request, under_way.result())
+    assert_outcome_matches_runs(running, refused.request, refused.result())
+    assert is_answered_after_healing(running, flow)
 
 
-def answered_once_healed(running, flow):
-    """Send demands until one is answered; the upstream is trusted again only after a check."""
-    give_up = time.monotonic() + WAIT_S
-    while time.monotonic() < give_up:
-        future = begin(flow, soon())
+def is_answered_after_healing(running, flow):
+    """Return whether a request is answered in time; a health check must restore the upstream."""
+    give_up_at = time.monotonic() + WAIT_S
+    while time.monotonic() < give_up_at:
+        future = submit_request(flow, soon())
         result = future.result(WAIT_S)
-        assert_truthful(running, future.request, result)
+        assert_outcome_matches_runs(running, future.request, result)
         if result.outcome is progress.Outcome.ANSWERED:
             return True
         time.sleep(clock.seconds_until(result.retry_at))
@@ -281,10 +269,10 @@
 
 
 def test_all_upstreams_stopped_at_once_end_in_time_beside_an_abandoned_flow(running):
-    """A caller ends without closing its flow; then every sidecar of the service gets SIGTERM.
+    """Guards against a drain that waits for a flow without a caller and without a handover target.
 
-    The flow's home has nobody to hand it to. It must end by itself, with status 0, within what
-    common supervisors give a process, and not be killed.
+    All sidecars of the service get SIGTERM at once and must exit with status 0 within the time that
+    common supervisors allow.
     """
     flow = running.caller.open("ledger", soon())
     assert flow.submit("demands", b"offset", soon(), idempotent=False).result(WAIT_S)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Check the TCP side of a process together with the client that asks it, over loopback."""
+"""Check the TCP server of a process with its client, over loopback."""
 
 import contextlib
 import http.client
@@ -88,11 +88,10 @@
         assert ask(running, "/echo", b"1") == b"1"
 
 
-def test_silent_connections_give_way():
-    """Somebody opens every connection there is room for and says nothing.
+def test_silent_connections_are_evicted():
+    """Guards against silent connections that use up the limit and block handovers.
 
-    A sidecar that wants to hand a flow over must still be served at once: the longest silent
-    connection is ended in its favour.
+    A new connection is served at once, and the oldest silent one is shut down.
     """
     handlers = {"/echo": lambda m: m}
     with serving(handlers, connection_limit=2) as running, contextlib.ExitStack() as held:
@@ -104,10 +103,7 @@
 
 
 def test_connections_past_the_limit_are_closed_and_a_freed_one_serves():
-    """Many peers connect at once and hold on: the rest are closed at once, not served slowly.
-
-    When one of the held ones leaves, its place is free again.
-    """
+    """Guards against serving beyond the limit, and against places that are never released."""
     entered, leave = threading.Event(), threading.Event()
 
     def hold(message):
@@ -136,7 +132,7 @@
 
 
 def test_accept_waits_out_an_error():
-    """The process runs out of file descriptors for a moment; then a peer must still be served."""
+    """Guards against a server that stops at a transient error of `accept` (EMFILE)."""
     with contextlib.closing(server.make_listener(("127.0.0.1", 0))) as listener:
         faults = [OSError(24, "Too many open files"), ConnectionAbortedError()]
 
@@ -152,14 +148,14 @@
         assert not faults
 
 
-def test_nobody_there_is_a_peer_error():
+def test_refused_connection_is_a_peer_error():
     with serving() as running:
         address = running.address
     with pytest.raises(errors.PeerError):
         bulk.exchange(address, "/a", b"", clock.now() + WAIT_MS)
 
 
-def test_a_peer_that_never_answers_costs_no_more_than_the_wait():
+def test_exchange_with_an_unresponsive_peer_times_out():
     with contextlib.closing(server.make_listener(("127.0.0.1", 0))) as silent:
         with pytest.raises(errors.PeerError, match="in time"):
             bulk.exchange(silent.getsockname(), "/a", b"", clock.now() + 50)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Check that settings are read whole and that every fault is told with its path."""
+"""Check that settings are read, and that every fault is reported with its path."""
 
 import json
 import re
@@ -75,12 +75,12 @@
         ({"log_level": "LOUD"}, "log_level: "),
     ],
 )
-def test_a_fault_is_told_with_its_path(tmp_path, change, fault):
+def test_a_fault_is_reported_with_its_path(tmp_path, change, fault):
     faults = faults_of(settings.read_balancer, write(tmp_path, {**BALANCER, **change}))
     assert any(f.startswith(fault) for f in faults), faults
 
 
-def test_every_fault_is_told_at_once(tmp_path):
+def test_all_faults_are_reported_at_once(tmp_path):
     value = {"name": "", "zone": "a", "keys": [], "slotz": 1}
     faults = faults_of(settings.read_sidecar, write(tmp_path, value))
     paths = {fault.partition(":")[0] for fault in faults}
@@ -100,7 +100,7 @@
         ),
     ],
 )
-def test_bounds_that_would_break_a_promise_are_refused(tmp_path, change, fault):
+def test_inconsistent_bounds_are_refused(tmp_path, change, fault):
     assert faults_of(settings.read_sidecar, write(tmp_path, {**SIDECAR, **change})) == [fault]
 
 
@@ -118,7 +118,7 @@
         " " * 2**21,
     ],
 )
-def test_a_file_that_holds_no_settings_is_one_error(tmp_path, text):
+def test_an_invalid_file_is_one_error(tmp_path, text):
     assert faults_of(settings.read_balancer, write(tmp_path, text))
 
 
@@ -141,7 +141,7 @@
 
 
 @given(field=st.sampled_from(sorted(settings.SidecarSettings.model_fields)), value=VALUES)
-def test_any_value_of_a_field_is_taken_or_refused(field, value):
+def test_any_value_of_a_field_is_accepted_or_refused(field, value):
     try:
         settings.validation.validate(
             settings.SidecarSettings, {**SIDECAR, field: value}, step="test", peer="test"
@@ -150,8 +150,8 @@
         assert all(fault.startswith(field) or field in fault for fault in error.faults)
 
 
-def test_every_setting_is_read_somewhere():
-    """A setting that nothing reads promises a bound that isn't there."""
+def test_every_setting_is_used():
+    """Guards against a setting without effect."""
     sources = (processes.ROOT / "src").rglob("*.py")
     text = "".join(path.read_text() for path in sources)
     models = (settings.BalancerSettings, settings.SidecarSettings, settings.OperatorSettings)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""Follow callers through real processes: platform, balancers, sidecars and upstreams."""
+"""Run callers against real processes: platform, balancers, sidecars and upstreams."""
 
 import pytest
 from click import testing
@@ -46,7 +46,7 @@
 
 
 def test_requests_on_flows_of_their_own(running):
-    """Each request is placed anew; together they reach both upstreams, and none is refused."""
+    """Guards against requests without a flow that are refused or all go to one upstream."""
     for number in range(30):
         asked = running.caller.ask("ledger", "demands", b"%d" % number, soon(), idempotent=False)
         assert asked.status == 200
@@ -54,10 +54,9 @@
 
 
 def test_sigterm_of_a_sidecar_moves_its_flow(running):
-    """The sidecar that holds the flow is told to stop while a feed and demands go on.
+    """Guards against a stop of the flow's home that loses requests or feed events.
 
-    It finishes, hands the flow to its sibling and ends with status 0; the caller's feed goes on
-    without a gap, and demands are answered before and after.
+    The sidecar hands the flow to its sibling and exits with status 0.
     """
     flow = running.caller.open("ledger", soon())
     feed = flow.subscribe("balances")
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Check the ring of events and that a merge never shows an effect before its cause."""
+"""Check the ring of events, and that merging never puts an effect before its cause."""
 
 import collections
 import dataclasses
@@ -16,7 +16,7 @@
     )
 
 
-def test_a_ring_keeps_the_newest_and_numbers_them():
+def test_a_ring_keeps_the_newest_events_in_sequence():
     ring = timeline.make_ring("a", "sidecar", 9, 3)
     for time in range(5):
         ring.add(time, "opened", flow=bytes([time]))
@@ -48,10 +48,7 @@
 
 
 def test_a_receiver_whose_clock_is_behind_comes_after_its_sender():
-    """A flow is handed over to an instance whose clock is 500 ms behind.
-
-    By time alone the new home would have the flow before the old one gave it away.
-    """
+    """Guards against sorting by time alone: the receiver's clock is 500 ms behind the sender's."""
     sent = record("old", 1, 1_000, link=b"t")
     received = record("new", 1, 500, link=b"t", step=1)
     later = record("new", 2, 510)
@@ -63,7 +60,7 @@
     assert timeline.merge([record("a", 1, 5), record("a", 1, 5)]) == [record("a", 1, 5)]
 
 
-def test_a_circle_of_causes_still_comes_out_whole():
+def test_a_cycle_of_causes_keeps_every_record():
     records = [
         record("a", 1, 5, link=b"x", step=1),
         record("a", 2, 6, link=b"y"),
@@ -82,8 +79,8 @@
 
 
 @given(events=EVENTS, skews=st.tuples(*[st.integers(-50, 50)] * 3))
-def test_any_true_history_comes_out_with_causes_first(events, skews):
-    """Play a history in true order with clocks apart, then ask the merge for it."""
+def test_merge_puts_causes_first_whatever_the_clock_skew(events, skews):
+    """Record events in causal order with skewed clocks, then merge them in reverse order."""
     sequences = dict.fromkeys("abc", 0)
     steps = collections.Counter()
     records = []
--- a/tests/test_tuning.py
+++ b/tests/test_tuning.py
@@ -1,4 +1,4 @@
-"""Check that the operators' policy settings reach the decision cores."""
+"""Check that the policy settings reach the cores, and the lag that a loop reports."""
 
 import socket
 
@@ -45,7 +45,7 @@
 
 
 def test_loop_that_does_not_keep_up_shows_a_lag(monkeypatch):
-    """Datagrams wait beyond a whole batch: each one taken is older than it looks."""
+    """Guards against a lag of 0 while datagrams wait beyond a full batch."""
     time = [1000]
     monkeypatch.setattr(clock, "now", lambda: time[0])
     running = loop.Loop()
@@ -61,7 +61,7 @@
         running.step()
         assert running.lag(udp) == 70
         time[0] += loop.RECENTLY_FULL_MS + 1
-        assert running.lag(udp) == 0, "the socket fell silent"
+        assert running.lag(udp) == 0, "the socket is idle"
     finally:
         running.stop()
         running.run()
