--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -255,7 +255,7 @@
             self.log.event(
                 "configured",
                 version=newer.version,
-                routes=len(newer.by_end),
+                routes=len(newer.by_endpoint),
                 revision=item.revision,
             )
 
--- a/src/ebonystile/core/carrying/packet.py
+++ b/src/ebonystile/core/carrying/packet.py
@@ -7,8 +7,8 @@
 """The 12 bytes that identify a flow: address and port of the caller, address and port of the
 route."""
 
-END_BYTES = 6
-"""Bytes of one end of a flow: IPv4 address and port."""
+ENDPOINT_BYTES = 6
+"""Size of one endpoint of a flow: IPv4 address and port."""
 
 PORT = struct.Struct("!H")
 
@@ -40,13 +40,13 @@
         return self.acknowledged if self.opens else 0
 
 
-def route_end(flow: Flow) -> bytes:
-    """Return the address and port of the flow's route, as bytes."""
-    return flow[END_BYTES:]
+def route_endpoint(flow: Flow) -> bytes:
+    """Return the endpoint of the flow's route."""
+    return flow[ENDPOINT_BYTES:]
 
 
-def end_of(host: str, port: int) -> bytes:
-    """Return an address and port as the bytes of one end of a flow."""
+def endpoint_of(host: str, port: int) -> bytes:
+    """Return an address and port as the bytes of an endpoint."""
     return bytes(int(part) for part in host.split(".")) + PORT.pack(port)
 
 
@@ -60,11 +60,11 @@
     return ".".join(map(str, address))
 
 
-def end_text(end: bytes) -> str:
-    """Return one end of a flow as `ip:port`."""
-    return f"{host_text(end[:4])}:{PORT.unpack(end[4:])[0]}"
+def endpoint_text(endpoint: bytes) -> str:
+    """Return an endpoint as `ip:port`."""
+    return f"{host_text(endpoint[:4])}:{PORT.unpack(endpoint[4:])[0]}"
 
 
 def flow_text(flow: Flow) -> str:
     """Return a flow as `caller>route`, the form used in logs."""
-    return f"{end_text(flow[:END_BYTES])}>{end_text(flow[END_BYTES:])}"
+    return f"{endpoint_text(flow[:ENDPOINT_BYTES])}>{endpoint_text(flow[ENDPOINT_BYTES:])}"
--- a/src/ebonystile/core/carrying/routes.py
+++ b/src/ebonystile/core/carrying/routes.py
@@ -43,18 +43,18 @@
 class Routes:
     """All routes of one version of the configuration.
 
-    `by_end` maps the bytes of an address and port to their route. `idle_timeout_ms` is the idle
+    `by_endpoint` maps encoded endpoints to their routes. `idle_timeout_ms` is the idle
     timeout of flows in ms. `slow_starts` gives the slow start of upstreams by service.
     """
 
     version: int
-    by_end: dict[bytes, Route]
+    by_endpoint: dict[bytes, Route]
     idle_timeout_ms: int
     slow_starts: typing.Mapping[str, warming.SlowStart] = dataclasses.field(default_factory=dict)
 
     def find(self, flow: packet.Flow) -> Route | None:
         """Return the route of the flow, or None if there is none."""
-        return self.by_end.get(packet.route_end(flow))
+        return self.by_endpoint.get(packet.route_endpoint(flow))
 
     def regions_of(self, flow: packet.Flow) -> tuple[str, ...]:
         """Return the regions that the flow's route is restricted to, empty for all regions."""
@@ -79,8 +79,8 @@
     slow_starts: typing.Mapping[str, warming.SlowStart] | None = None,
 ) -> Routes:
     """Return the routes of a version from their addresses and ports."""
-    by_end = {packet.end_of(host, port): route for host, port, route in routes}
-    return Routes(version, by_end, idle_timeout_ms, slow_starts or {})
+    by_endpoint = {packet.endpoint_of(host, port): route for host, port, route in routes}
+    return Routes(version, by_endpoint, idle_timeout_ms, slow_starts or {})
 
 
 class RouteTable:
@@ -98,11 +98,13 @@
         """Put the routes in force if their version is newer; return whether it is."""
         if newer.version <= self.routes.version:
             return False
-        for end, route in self.routes.by_end.items():
-            kept = newer.by_end.get(end)
+        for end, route in self.routes.by_endpoint.items():
+            kept = newer.by_endpoint.get(end)
             if kept is not None and kept.shares != route.shares:
                 self.former_services.setdefault(end, set()).update(route.services)
-        self.former_services = {e: s for e, s in self.former_services.items() if e in newer.by_end}
+        self.former_services = {
+            e: s for e, s in self.former_services.items() if e in newer.by_endpoint
+        }
         self.routes = newer
         return True
 
@@ -112,5 +114,7 @@
         if route is None:
             return ()
         names = dict.fromkeys([route.service_of(flow), *route.services])
-        names.update(dict.fromkeys(sorted(self.former_services.get(packet.route_end(flow), ()))))
+        names.update(
+            dict.fromkeys(sorted(self.former_services.get(packet.route_endpoint(flow), ())))
+        )
         return tuple(names)
--- a/src/ebonystile/platform/packets.py
+++ b/src/ebonystile/platform/packets.py
@@ -81,7 +81,7 @@
     The caller accepts it only if `position` is near the one that it last acknowledged.
     """
     caller_address, caller_port = ADDRESS_PORT.unpack_from(flow)
-    route_address, route_port = ADDRESS_PORT.unpack_from(flow, packet.END_BYTES)
+    route_address, route_port = ADDRESS_PORT.unpack_from(flow, packet.ENDPOINT_BYTES)
     return HEADER.pack(
         0, position, 0, 0, RST, 0, caller_port, caller_address, route_port, route_address
     )
--- a/standins/ends.py
+++ b/standins/ends.py
@@ -45,7 +45,7 @@
 
 def ends(flow: packet.Flow) -> tuple[bytes, bytes]:
     """Return the caller's and the route's end of a flow."""
-    return flow[: packet.END_BYTES], flow[packet.END_BYTES :]
+    return flow[: packet.ENDPOINT_BYTES], flow[packet.ENDPOINT_BYTES :]
 
 
 @dataclasses.dataclass
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -288,7 +288,7 @@
         """Begin a flow with its first request, through a balancer."""
         with self.lock:
             self.next_port += 1
-            flow = packet.end_of("127.0.3.1", self.next_port) + packet.end_of(*ROUTE)
+            flow = packet.endpoint_of("127.0.3.1", self.next_port) + packet.endpoint_of(*ROUTE)
             made = ends.Caller(flow, now_ms())
             made.through = through
             made.ask(request, now_ms())
--- a/tests/carrying/matrix.py
+++ b/tests/carrying/matrix.py
@@ -135,7 +135,9 @@
         """Open a flow of a caller; every fifth caller uses the photos route."""
         route = PHOTOS_ROUTE if number % 5 == 4 else world.ROUTE
         zone = "abc"[number % 3]
-        flow = world.packet.end_of("100.64.0.7", next(self.ports)) + world.packet.end_of(*route)
+        flow = world.packet.endpoint_of("100.64.0.7", next(self.ports)) + world.packet.endpoint_of(
+            *route
+        )
         caller = world.ends.Caller(flow, self.now)
         caller.through = self.balancer_for(zone, number)
         caller.number = number
@@ -334,8 +336,8 @@
         """Check that the upstream may get this new flow, as far as its sidecar can know."""
         route = node.core.route_table.routes.find(shown.flow)
         service = node.core.service
-        _, end = world.ends.ends(shown.flow)
-        allowed = self.allowed[world.ROUTE if end == MAIN_END else PHOTOS_ROUTE]
+        _, endpoint = world.ends.ends(shown.flow)
+        allowed = self.allowed[world.ROUTE if endpoint == MAIN_ENDPOINT else PHOTOS_ROUTE]
         if service not in allowed:
             self.violations.append(f"a flow for {sorted(allowed)} opened at {service}")
         elif node.core.route_table.routes.version == self.newest[0] and (
@@ -446,7 +448,7 @@
                 self.violations.append("a sidecar keeps something of flows that are over")
 
 
-MAIN_END = world.packet.end_of(*world.ROUTE)
+MAIN_ENDPOINT = world.packet.endpoint_of(*world.ROUTE)
 
 FAULTS = (*faults.MESSAGE_FAULTS, *faults.PROCESS_FAULTS)
 
--- a/tests/carrying/test_announcing.py
+++ b/tests/carrying/test_announcing.py
@@ -297,6 +297,6 @@
     scene = world.World(balancers=1)
     core = scene.balancers[0].core
     for number in range(balancer_state.MAX_PENDING + 10):
-        flow = packet.end_of("100.64.0.7", number + 1) + packet.end_of(*world.ROUTE)
+        flow = packet.endpoint_of("100.64.0.7", number + 1) + packet.endpoint_of(*world.ROUTE)
         core.add_pending(packet.Packet(flow, b"", 0, 0, 0))
     assert len(core.pending) == balancer_state.MAX_PENDING
--- a/tests/carrying/test_paths.py
+++ b/tests/carrying/test_paths.py
@@ -489,7 +489,7 @@
 def test_a_restarted_home_is_probed_although_unlisted_sidecars_do_not_answer():
     """Missing answers of upstreams that were replaced must not limit the probes to a few others."""
     scene = world.World(zones=("a",), upstreams=30, balancers=2)
-    flow = packet.end_of("100.64.0.7", 40_001) + packet.end_of(*world.ROUTE)
+    flow = packet.endpoint_of("100.64.0.7", 40_001) + packet.endpoint_of(*world.ROUTE)
     upstreams = scene.balancers[0].core.fleet.upstreams_of("s")
     first = [
         u.address
--- a/tests/carrying/test_placing.py
+++ b/tests/carrying/test_placing.py
@@ -5,7 +5,7 @@
 from ebonystile.core.carrying import fleet, messages, packet, placing
 from tests.carrying import world
 
-ROUTE = packet.end_of(*world.ROUTE)
+ROUTE = packet.endpoint_of(*world.ROUTE)
 
 
 def upstream(number, zone="a", **fields):
@@ -13,7 +13,7 @@
 
 
 def flow(port):
-    return packet.end_of("100.64.0.7", port) + ROUTE
+    return packet.endpoint_of("100.64.0.7", port) + ROUTE
 
 
 def chosen(*loads, now=0, **fields):
--- a/tests/carrying/test_table.py
+++ b/tests/carrying/test_table.py
@@ -6,7 +6,7 @@
 from ebonystile.platform import packets
 from standins import ends
 
-CALLER, ROUTE = packet.end_of("100.64.0.7", 40_001), packet.end_of("198.18.0.1", 443)
+CALLER, ROUTE = packet.endpoint_of("100.64.0.7", 40_001), packet.endpoint_of("198.18.0.1", 443)
 FLOW = CALLER + ROUTE
 SOURCE = ("10.0.0.1", 7720)
 
@@ -91,7 +91,7 @@
     monkeypatch.setattr(table, "MAX_FLOWS", 3)
     flow_table = table.FlowTable()
     for port in range(10):
-        flow_table.open(packet.end_of("100.64.0.7", 1_000 + port) + ROUTE, SOURCE, port)
+        flow_table.open(packet.endpoint_of("100.64.0.7", 1_000 + port) + ROUTE, SOURCE, port)
     assert len(flow_table.flows) == 3
 
 
--- a/tests/carrying/test_warming.py
+++ b/tests/carrying/test_warming.py
@@ -167,7 +167,7 @@
     old = scene.balancers[0].core.route_table.routes
     restrict_to_regions(scene, "south")
     for node in scene.balancers:
-        node.core.route_table.routes = routes.Routes(3, old.by_end, old.idle_timeout_ms)
+        node.core.route_table.routes = routes.Routes(3, old.by_endpoint, old.idle_timeout_ms)
     caller = scene.caller()
     scene.run(30)
     held = [node.zone for node in scene.sidecars if caller.flow in node.upstream.opened]
--- a/tests/carrying/world.py
+++ b/tests/carrying/world.py
@@ -180,7 +180,7 @@
 
     def caller(self, port=40_001, zone="a", through=None):
         """Return a new caller that opens a flow, by default through a balancer of its zone."""
-        flow = packet.end_of("100.64.0.7", port) + packet.end_of(*ROUTE)
+        flow = packet.endpoint_of("100.64.0.7", port) + packet.endpoint_of(*ROUTE)
         made = ends.Caller(flow, self.now)
         made.through = through or next(b for b in self.balancers if b.zone == zone)
         self.callers[flow] = made
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -517,8 +517,9 @@
     Mutation(
         "former services of a route searched",
         CORE + "carrying/routes.py",
-        "names.update(dict.fromkeys(sorted(self.former_services.get(packet.route_end(flow), ()))))",
-        "pass",
+        "        names.update(\n            dict.fromkeys(sorted(self.former_services.get("
+        "packet.route_endpoint(flow), ())))\n        )\n",
+        "        pass\n",
     ),
     Mutation(
         "version of routes never decreases",
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -116,13 +116,13 @@
 def test_a_configuration_gives_routes_and_their_split():
     made = entries.routes_of(item(CONFIGURATION))
     assert made.version == 7 and made.idle_timeout_ms == 9_000
-    flows = [packet.end_of("100.64.0.1", port) for port in range(1_000, 2_000)]
-    split = [made.find(f + packet.end_of("198.18.0.1", 8443)) for f in flows]
+    flows = [packet.endpoint_of("100.64.0.1", port) for port in range(1_000, 2_000)]
+    split = [made.find(f + packet.endpoint_of("198.18.0.1", 8443)) for f in flows]
     chosen = [r.service_of(f) for r, f in zip(split, flows, strict=True)]
     assert 850 < chosen.count("s") < 950
-    only = made.find(flows[0] + packet.end_of("198.18.0.2", 80))
+    only = made.find(flows[0] + packet.endpoint_of("198.18.0.2", 80))
     assert only.services == ("t",)
-    assert made.find(flows[0] + packet.end_of("198.18.0.2", 81)) is None
+    assert made.find(flows[0] + packet.endpoint_of("198.18.0.2", 81)) is None
 
 
 @pytest.mark.parametrize("prefix", ["/", "/x/", "/70000/", "/0/", ""])
--- a/tests/platform/test_packets.py
+++ b/tests/platform/test_packets.py
@@ -14,8 +14,8 @@
 RESET = bytes.fromhex(
     "00000000 00000000 00000000 00000000 80 0000 9c41 64400007 01bb c6120001".replace(" ", "")
 )
-CALLER = packet.end_of("100.64.0.7", 40_001)
-ROUTE = packet.end_of("198.18.0.1", 443)
+CALLER = packet.endpoint_of("100.64.0.7", 40_001)
+ROUTE = packet.endpoint_of("198.18.0.1", 443)
 
 POSITION = strategies.integers(0, (1 << 32) - 1)
 
