--- a/benches/policy_model.py
+++ b/benches/policy_model.py
@@ -279,7 +279,7 @@
         self.targets: dict[str, list[Node]] = {}
         self.change_view()
         self.running: dict[bytes, Asked] = {}
-        self.budgets = [budget.Budget(budget.Allowance(), 0) for _ in range(CALLERS)]
+        self.budgets = [budget.RetryBudget(budget.Allowance(), 0) for _ in range(CALLERS)]
         self.tally = Tally()
         self.heap: list[tuple[int, int, typing.Callable, tuple]] = []
         self.counter = itertools.count()
@@ -432,7 +432,7 @@
         node.limiter.finish(asked.key, limits.Outcome.DONE, self.now)
         took = self.now - asked.sent
         if self.now < asked.deadline:
-            self.budgets[asked.flow.arrival.caller].succeeded()
+            self.budgets[asked.flow.arrival.caller].record_success()
             self.tally.done += asked.sent >= self.warm_up
             self.tally.good_at[self.now // 1000] += 1
             if self.counted:
--- a/src/ebonystile/caller/__init__.py
+++ b/src/ebonystile/caller/__init__.py
@@ -1,1 +1,1 @@
-"""Speak with callers: the datagrams they exchange with the system and a client library."""
+"""The client library for callers and the datagrams that callers and the system exchange."""
--- a/src/ebonystile/caller/budget.py
+++ b/src/ebonystile/caller/budget.py
@@ -1,7 +1,7 @@
-"""Limit what a caller repeats, so that a brown-out does not become a storm of retries.
+"""Limit a caller's retries, so that an overload does not become a retry storm.
 
-A `Budget` lets repeats be only a small share of first tries, whatever fails. A `Backoff` says when
-the next may go out. Times are milliseconds.
+A `RetryBudget` keeps retries a small share of first attempts, whatever fails. A `Backoff` returns
+the time of the next retry. Times are in milliseconds.
 """
 
 import dataclasses
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Allowance:
-    """How many repeats a caller may send.
+    """How many retries a caller may send.
 
-    `share` of a repeat is earned by each success, `trickle` of one by each second, and at most
-    `most` can be saved up. The trickle lets a caller that has had no success for long find out that
-    the service is back.
+    Each success adds `share` of a retry to the budget and each second adds `trickle`, up to `most`
+    retries in all. The trickle lets a caller without any recent success detect that the service has
+    recovered.
     """
 
     share: float = 0.1
@@ -23,20 +23,20 @@
     most: float = 10.0
 
 
-class Budget:
-    """A token bucket that successes fill and repeats empty."""
+class RetryBudget:
+    """A token bucket that successes and time fill and that retries empty."""
 
     def __init__(self, allowance: Allowance, now: int):
         self.allowance = allowance
         self.tokens = allowance.most
         self.filled_at = now
 
-    def succeeded(self) -> None:
-        """Earn a share of a repeat."""
+    def record_success(self) -> None:
+        """Add a success's share of a retry."""
         self.tokens = min(self.allowance.most, self.tokens + self.allowance.share)
 
     def spend(self, now: int) -> bool:
-        """Take one repeat, or return False if there is none left."""
+        """Take one retry from the budget; return False if none is left."""
         earned = max(0, now - self.filled_at) / 1000 * self.allowance.trickle
         self.tokens = min(self.allowance.most, self.tokens + earned)
         self.filled_at = max(now, self.filled_at)
@@ -47,25 +47,25 @@
 
 
 class Backoff:
-    """When to try again: exponential, with decorrelated jitter (Brooker, 2015).
+    """Exponential backoff with decorrelated jitter (Brooker, 2015).
 
-    Without jitter those who failed together come back together. The time that a refusal names is
-    never anticipated.
+    Without jitter, callers that failed together would retry together. A retry is never sent before
+    the time given in a refusal.
     """
 
-    def __init__(self, base: int = 50, most: int = 5000):
-        self.base = base
-        self.most = most
-        self.last = base
+    def __init__(self, base_ms: int = 50, max_ms: int = 5000):
+        self.base_ms = base_ms
+        self.max_ms = max_ms
+        self.last_ms = base_ms
 
     def next_at(self, now: int, chance: rng.Rng, retry_at: int = 0) -> int:
-        """Return when to try again, not before `retry_at`."""
-        self.last = int(min(self.most, chance.uniform(self.base, self.last * 3)))
+        """Return the time of the next retry, which is not before `retry_at`."""
+        self.last_ms = int(min(self.max_ms, chance.uniform(self.base_ms, self.last_ms * 3)))
         if retry_at <= now:
-            return now + self.last
-        # The refusal has spread its callers already; a little jitter parts those it could not.
-        return retry_at + int(chance.uniform(0, self.base))
+            return now + self.last_ms
+        # Refusals carry spread-out retry times; jitter separates callers that got the same one.
+        return retry_at + int(chance.uniform(0, self.base_ms))
 
     def reset(self) -> None:
-        """Start anew after a success."""
-        self.last = self.base
+        """Return to the shortest backoff after a success."""
+        self.last_ms = self.base_ms
--- a/src/ebonystile/caller/client.py
+++ b/src/ebonystile/caller/client.py
@@ -1,8 +1,8 @@
 """Call services from a program: open flows, send requests, follow feeds.
 
-A `Caller` owns one UDP socket and one thread; every datagram goes to any of the balancers, as the
-fabric would hand it. Final words come as results or as typed errors: `NotRunError` promises that
-the request was not run, `OutcomeUnknownError` says that nobody can tell.
+A `Caller` owns one UDP socket and one thread. Each datagram is sent to a balancer picked at random,
+as a network with equal-cost routes would. The outcome of a request is a result or a typed error:
+`NotRunError` guarantees that the request was not run; after `OutcomeUnknownError` it may have run.
 """
 
 import concurrent.futures
@@ -20,8 +20,8 @@
 from ebonystile.core.calls import call, progress
 
 TICK_MS = 20
-LAST_WORDS_MS = 1_000
-"""Longest time, in ms, that a caller which ends says again that its flows are closed."""
+CLOSE_TIMEOUT_MS = 1_000
+"""Longest time for which a closing caller resends `Close` to homes that have not confirmed it."""
 
 DEFAULT_ALLOWANCE = budget.Allowance()
 
@@ -38,7 +38,7 @@
     def submit(
         self, path: str, body: bytes, deadline: int, *, idempotent: bool
     ) -> concurrent.futures.Future:
-        """Send a request; the future gives the `Result`, whatever the outcome."""
+        """Send a request; return a future for its `Result`, whatever the outcome."""
         future: concurrent.futures.Future = concurrent.futures.Future()
 
         def begin() -> None:
@@ -55,10 +55,10 @@
     ) -> progress.Result:
         """Send a request and return its answer; raise `CallError` if there is none."""
         result = self.submit(path, body, deadline, idempotent=idempotent).result()
-        return answer_of(result, self.core.service)
+        return require_answer(result, self.core.service)
 
     def subscribe(self, path: str, position: int = 0) -> "Feed":
-        """Follow a feed after `position`."""
+        """Subscribe to the events of a feed that follow `position`."""
         incoming: queue.SimpleQueue = queue.SimpleQueue()
         started: concurrent.futures.Future = concurrent.futures.Future()
 
@@ -72,27 +72,27 @@
         return Feed(self, started.result(), incoming)
 
     def cancel(self, future: concurrent.futures.Future) -> None:
-        """Ask for a request to be stopped; its future still gives the final word."""
+        """Cancel a request; its future still gets the outcome."""
         self.post(lambda: self.core.cancel(future.request, clock.now()))
 
     def settle(self, future: concurrent.futures.Future) -> None:
-        """Ask what became of a request; if it never came whole, it never will run."""
+        """Ask for the outcome of a request; one that has not fully arrived will not be run."""
         self.post(lambda: self.core.settle(future.request, clock.now()))
 
     def close(self) -> None:
-        """End the flow; requests under way end as unknown."""
+        """Close the flow; the outcome of pending requests is unknown."""
         self.post(self.core.close)
-        self.caller.loop.post(self.end_futures)
+        self.caller.loop.post(self.resolve_futures)
 
-    def end_futures(self) -> None:
-        """End what was under way on a closed flow."""
+    def resolve_futures(self) -> None:
+        """Resolve the pending requests of a closed flow as unknown."""
         for request, future in self.futures.items():
             reason = "the flow was closed"
             future.set_result(progress.Result(request, progress.Outcome.UNKNOWN, reason=reason))
         self.futures.clear()
 
     def post(self, action: abc.Callable[[], typing.Any]) -> None:
-        """Do something in the caller's thread and send what comes of it."""
+        """Run `action` in the caller's thread and send the datagrams that it produces."""
 
         def do() -> None:
             action()
@@ -102,7 +102,7 @@
 
 
 class Feed:
-    """The events of one subscription, in order, each once."""
+    """The events of one subscription, in order and without duplicates."""
 
     def __init__(self, flow: Flow, subscription: bytes, incoming: queue.SimpleQueue):
         self.flow = flow
@@ -117,12 +117,12 @@
             return None
 
     def close(self) -> None:
-        """Stop following the feed."""
+        """Unsubscribe from the feed."""
         self.flow.post(lambda: self.flow.core.unsubscribe(self.subscription))
 
 
 class Caller:
-    """A program's way to the system: one socket and one thread for all its flows."""
+    """A client of the system: one socket and one thread for all its flows."""
 
     def __init__(
         self,
@@ -133,9 +133,9 @@
         self.balancers = balancers
         self.randomness = random.Random(secrets.randbits(64))
         self.flows: dict[bytes, Flow] = {}
-        self.budget = budget.Budget(allowance, clock.now())
+        self.budget = budget.RetryBudget(allowance, clock.now())
         self.budget_lock = threading.Lock()
-        self.end_by = 0
+        self.close_by = 0
         self.loop = loop.Loop()
         self.udp = self.loop.listen((local, 0), self.on_datagram)
         self.loop.call_every(TICK_MS, self.tick)
@@ -143,7 +143,7 @@
         self.thread.start()
 
     def open(self, service: str, deadline: int) -> Flow:
-        """Return a new flow at once; it opens in the background, until `deadline` (ms)."""
+        """Return a new flow at once; it is opened in the background, by `deadline` (ms)."""
         core = call.Call(service, self.randomness, clock.now(), deadline)
         flow = Flow(self, core)
 
@@ -157,11 +157,11 @@
     def ask(
         self, service: str, path: str, body: bytes, deadline: int, *, idempotent: bool
     ) -> progress.Result:
-        """Send a request on a flow of its own and return its answer; raise `CallError` if none.
+        """Send a request on a new flow and return its answer; raise `CallError` if there is none.
 
-        Being on a flow of its own, it is placed by the load of that moment. Where it surely was
-        not run it is sent again, on another flow, when the refusal says and while the retry budget
-        lasts; an idempotent one is sent again too where its outcome is unknown.
+        A new flow is placed by the current load. A request that was certainly not run is retried
+        on another flow, not before the time in the refusal and while the retry budget lasts. An
+        idempotent request is also retried if its outcome is unknown.
         """
         backoff = budget.Backoff()
         while True:
@@ -169,37 +169,37 @@
             try:
                 result = flow.request(path, body, deadline, idempotent=idempotent)
             except errors.NotRunError as error:
-                again = backoff.next_at(clock.now(), self.randomness, error.retry_at)
-                if not self.may_repeat(again, deadline):
+                retry_at = backoff.next_at(clock.now(), self.randomness, error.retry_at)
+                if not self.take_retry(retry_at, deadline):
                     raise
             except errors.OutcomeUnknownError:
-                again = backoff.next_at(clock.now(), self.randomness)
-                if not (idempotent and self.may_repeat(again, deadline)):
+                retry_at = backoff.next_at(clock.now(), self.randomness)
+                if not (idempotent and self.take_retry(retry_at, deadline)):
                     raise
             else:
                 with self.budget_lock:
-                    self.budget.succeeded()
+                    self.budget.record_success()
                 return result
             finally:
                 flow.close()
-            time.sleep(clock.seconds_until(again))
+            time.sleep(clock.seconds_until(retry_at))
 
-    def may_repeat(self, again: int, deadline: int) -> bool:
-        """Take a repeat at `again` from the budget, unless it would be too late."""
+    def take_retry(self, retry_at: int, deadline: int) -> bool:
+        """Take a retry from the budget; return False if it is empty or the deadline too early."""
         with self.budget_lock:
-            return again < deadline and self.budget.spend(clock.now())
+            return retry_at < deadline and self.budget.spend(clock.now())
 
     def close(self) -> None:
-        """End the thread and the socket; wait a moment until closed flows' homes have heard it."""
-        self.loop.post(self.begin_to_end)
+        """End the thread and the socket, after at most `CLOSE_TIMEOUT_MS` for closing flows."""
+        self.loop.post(self.begin_close)
         self.thread.join()
 
-    def begin_to_end(self) -> None:
-        """Set the time by which the thread ends."""
-        self.end_by = clock.now() + LAST_WORDS_MS
+    def begin_close(self) -> None:
+        """Set the time at which the thread ends at the latest."""
+        self.close_by = clock.now() + CLOSE_TIMEOUT_MS
 
     def on_datagram(self, data: bytes, source: view.Address) -> None:
-        """Give a datagram to its flow; whatever is none of ours is dropped."""
+        """Pass a datagram to its flow; drop malformed ones and those of unknown flows."""
         try:
             message = messages.TO_CALLER.decode(data)
         except errors.DatagramError:
@@ -210,22 +210,22 @@
             self.flush(flow)
 
     def tick(self) -> None:
-        """Let every flow look at the time."""
+        """Run the timers of every flow and remove those that are done."""
         now = clock.now()
         for flow in list(self.flows.values()):
             flow.core.tick(now)
             self.flush(flow)
             if flow.core.is_done:
                 del self.flows[flow.core.flow]
-        if self.end_by and (now >= self.end_by or not self.closing()):
+        if self.close_by and (now >= self.close_by or not self.is_closing()):
             self.loop.stop()
 
-    def closing(self) -> bool:
-        """Whether a home may still have to hear that its flow has ended."""
+    def is_closing(self) -> bool:
+        """Return whether the home of a closed flow has not confirmed the close yet."""
         return any(flow.core.closed for flow in self.flows.values())
 
     def flush(self, flow: Flow) -> None:
-        """Send what a flow has to send and hand out what has come to an end."""
+        """Send a flow's queued datagrams and deliver its outcomes and feed events."""
         core = flow.core
         for payload in core.outbox:
             loop.send(self.udp, payload, self.randomness.choice(self.balancers()))
@@ -241,12 +241,12 @@
                 incoming.put(event)
         core.events.clear()
         if core.flow not in self.flows:
-            # The flow was opened anew under another id, after its home was lost.
+            # The flow was reopened under another id after its home was lost.
             self.flows = {f.core.flow: f for f in self.flows.values()}
 
 
-def answer_of(result: progress.Result, service: str) -> progress.Result:
-    """Return an answered result; raise the error that any other one stands for."""
+def require_answer(result: progress.Result, service: str) -> progress.Result:
+    """Return the result if it was answered; otherwise raise the error for its outcome."""
     if result.outcome is progress.Outcome.ANSWERED:
         return result
     if result.outcome is progress.Outcome.NOT_RUN:
@@ -261,6 +261,6 @@
     local: str = "127.0.0.1",
     allowance: budget.Allowance = DEFAULT_ALLOWANCE,
 ) -> Caller:
-    """Return a caller that sends to `balancers`: their addresses, or what returns them."""
+    """Return a caller; `balancers` are their addresses, or a function that returns them."""
     source = balancers if callable(balancers) else lambda: balancers
     return Caller(source, local, allowance)
--- a/src/ebonystile/caller/messages.py
+++ b/src/ebonystile/caller/messages.py
@@ -1,7 +1,7 @@
 """The datagrams that callers and the system exchange, as docs/PROTOCOL.md describes them.
 
 Times are milliseconds since the epoch by the wall clock. Flow and request ids are 16 random bytes.
-Every message from a caller starts with flow, service and token, which is all a balancer reads.
+Every message from a caller starts with flow, service and token; a balancer reads only these.
 """
 
 import dataclasses
@@ -11,21 +11,21 @@
 
 ID_BYTES = 16
 OPEN_BYTES = 160
-"""Least size of an open: an answer to an address that has not yet shown a token is no larger."""
+"""Smallest size of an open: as large as the answer to it, so spoofed opens amplify no traffic."""
 
 PART_BYTES = 1200
-"""Most bytes of a body in one datagram: fits the smallest path that RFC 9000 section 14 allows."""
+"""Largest part of a body in one datagram: fits the smallest MTU of RFC 9000 section 14."""
 
 WINDOW = 32
-"""Most parts of an upload, or of an answer, under way at one time."""
+"""Largest number of parts of an upload or of an answer that are in flight."""
 
 MAX_PARTS = 16_384
-"""Most parts of one body, about 19 MB."""
+"""Largest number of parts of one body, about 19 MB."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Open:
-    """Ask for a home for a flow; repeating it runs nothing. `attempt` counts from 0."""
+    """Ask for a home for a flow; safe to resend. `attempt` counts from 0."""
 
     KIND: typing.ClassVar[int] = 1
     flow: bytes
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """Carry one part of a request; the home answers `Progress` to a part that asks for it."""
+    """Carry one part of a request; the home answers `Progress` to a part with `report` set."""
 
     KIND: typing.ClassVar[int] = 2
     flow: bytes
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for a feed from `position` on, the number of the last event the caller has."""
+    """Subscribe to the events of a feed that follow `position`, the last that the caller has."""
 
     KIND: typing.ClassVar[int] = 4
     flow: bytes
@@ -82,9 +82,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Say that the caller has every event of the feed up to `position`.
+    """Acknowledge every event of a feed up to `position`.
 
-    For a request it says that the caller has the whole answer, which had `position` parts.
+    For a request, acknowledge the whole answer, which had `position` parts.
     """
 
     KIND: typing.ClassVar[int] = 5
@@ -97,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """Say that the answer is no longer wanted; the home frees what the request holds."""
+    """Cancel a request: the home stops it and frees its resources."""
 
     KIND: typing.ClassVar[int] = 6
     flow: bytes
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settle:
-    """Ask for the outcome of a request in doubt; an unknown one is settled as not run for good."""
+    """Ask for the outcome of a request; one that has not fully arrived is refused for good."""
 
     KIND: typing.ClassVar[int] = 7
     flow: bytes
@@ -120,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Keep the flow's lease alive and learn its present token."""
+    """Renew the flow's lease and ask for its current token."""
 
     KIND: typing.ClassVar[int] = 8
     flow: bytes
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Close:
-    """End the flow and everything on it."""
+    """Close the flow with its requests and feeds."""
 
     KIND: typing.ClassVar[int] = 9
     flow: bytes
@@ -140,10 +140,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Opened:
-    """Name the flow's home by `token`; the lease ends at `lease_until` unless it is renewed.
+    """Give the token of the flow's home; the lease ends at `lease_until` unless it is renewed.
 
-    `replaces` holds the incarnations of the homes that this one stands for, itself included: a
-    caller takes the token in place of one of theirs, and never in place of another home's.
+    `replaces` holds the incarnations of this home and of those whose requests it took over: the
+    caller replaces a token from one of them, and no other home's.
     """
 
     KIND: typing.ClassVar[int] = 33
@@ -156,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenRefused:
-    """Say that no home was given, and when to ask again."""
+    """Refuse an `Open`; the caller may ask again at `retry_at`."""
 
     KIND: typing.ClassVar[int] = 34
     flow: bytes
@@ -167,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """Tell which parts of a request are still missing (at most `WINDOW` of them are named)."""
+    """Report the received parts of a request and up to `WINDOW` missing ones."""
 
     KIND: typing.ClassVar[int] = 35
     flow: bytes
@@ -178,7 +178,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """Say that the whole request has arrived and has no outcome yet."""
+    """Report that the whole request has arrived and has no outcome yet."""
 
     KIND: typing.ClassVar[int] = 36
     flow: bytes
@@ -187,7 +187,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerPart:
-    """Carry one part of an answer; parts of two answers (ids) never belong together."""
+    """Carry one part of an answer; parts with different `answer` ids are never combined."""
 
     KIND: typing.ClassVar[int] = 37
     flow: bytes
@@ -201,7 +201,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """Promise that the request was not run and never will be; come back at `retry_at`."""
+    """Guarantee that the request was not run and never will be; it may be retried at `retry_at`."""
 
     KIND: typing.ClassVar[int] = 38
     flow: bytes
@@ -212,7 +212,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Say that this home cannot tell whether the request was run."""
+    """Report that the home has no record of whether the request was run."""
 
     KIND: typing.ClassVar[int] = 39
     flow: bytes
@@ -223,7 +223,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownFlow:
-    """Say that no reachable home holds the flow: open it anew."""
+    """Report that no reachable home holds the flow, which the caller should reopen."""
 
     KIND: typing.ClassVar[int] = 40
     flow: bytes
@@ -233,7 +233,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Moved:
-    """Give the flow's new token after a handover, or the present one to a heartbeat.
+    """Give the flow's new token after a handover, or the current one in answer to a heartbeat.
 
     `replaces` is as in `Opened`.
     """
@@ -258,7 +258,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FeedEnded:
-    """Say that the feed ends here for good, with the reason; subscribe anew from the position."""
+    """End a subscription, with the reason; the caller may subscribe again from `position`."""
 
     KIND: typing.ClassVar[int] = 43
     flow: bytes
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -112,7 +112,7 @@
         """Announce to the other processes that this one is leaving."""
         self.handle_event(gossip.Leave())
 
-    def handle_datagram(self, opened: seal.Opened, source: view.Address) -> bool:
+    def handle_datagram(self, opened: seal.OpenedDatagram, source: view.Address) -> bool:
         """Handle an opened datagram if it is a control message; return whether it was one.
 
         Every datagram carries its sender's revision; one that is higher than ours leads to a pull.
--- a/src/ebonystile/daemon/server.py
+++ b/src/ebonystile/daemon/server.py
@@ -55,7 +55,7 @@
         while True:
             try:
                 connection, peer = super().accept()
-                bulk.bound_sending(connection)
+                bulk.set_send_timeout(connection)
                 return connection, peer
             except TimeoutError:
                 continue
--- a/src/ebonystile/peer/__init__.py
+++ b/src/ebonystile/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Speak with the system's other processes: sealed datagrams and bulk exchanges."""
+"""Communication with the system's other processes: sealed datagrams and bulk exchanges."""
--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -1,7 +1,7 @@
 """Encode and decode the datagrams between balancers and sidecars about carried flows.
 
 The first byte is the type of the message. A header of fixed size follows, then the bytes of the
-packet in the message, if any. Datagrams stay below the size at which a network may fragment them.
+packet in the message, if any. Datagrams are kept small enough that networks do not fragment them.
 """
 
 import functools
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -23,16 +23,16 @@
 Address = tuple[str, int]
 
 PackedStatement = tuple[str, str, Address, str, int, int]
-"""A statement on a process: name, role, address, zone, generation, state."""
+"""A statement about a process: name, role, address, zone, generation, state."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gossip:
-    """The sender's membership statement and revisions, and membership updates on others.
+    """The sender's membership statement and revisions, and membership updates about others.
 
-    `platform_confirmed_at` is the latest known time (ms) at which a watcher was answered by the
-    platform that nothing newer exists. A `nonce` other than 0 asks for a message back that has it
-    in `answered_nonce`.
+    `platform_confirmed_at` is the latest known time (ms) at which the platform confirmed to a
+    watcher that nothing newer exists. A `nonce` other than 0 asks for a reply that repeats it in
+    `answered_nonce`.
     """
 
     KIND: typing.ClassVar[int] = 64
@@ -176,7 +176,7 @@
         reader = zlib.decompressobj()
         text = reader.decompress(data, MAX_UPDATE_BYTES)
         if not reader.eof:
-            raise ValueError("cut short or too large")
+            raise ValueError("truncated or too large")
         items = codec.freeze(cbor2.loads(text))
         if not CHECK_UPDATE(items):
             raise ValueError("a field has a wrong type")
--- a/src/ebonystile/peer/messages.py
+++ b/src/ebonystile/peer/messages.py
@@ -1,8 +1,7 @@
 """The datagrams on the packet path between balancers and sidecars (docs/PROTOCOL.md).
 
-Every packet of every flow passes through here, so a fixed header stands before the caller's own
-datagram, which is carried unread. Trials had CBOR take 3.3 us for a header with nested addresses,
-1.3 us for a flat one, and `struct` 0.2 us.
+Every packet of every flow is encoded here, so the caller's datagram is carried undecoded behind a
+fixed header, which `struct` packs several times faster than CBOR.
 """
 
 import dataclasses
@@ -15,10 +14,10 @@
 Address = tuple[str, int]
 
 ADDRESS_BYTES = 6
-"""A packed address: four bytes of IPv4 and two of the port, most significant first."""
+"""Size of a packed address: four bytes of IPv4 and two of the port, in network order."""
 
 FORWARD = struct.Struct("!B6s6sB")
-"""Kind, caller, via and how many keys of visited upstreams (8 bytes each) follow."""
+"""Kind, caller, via, and the number of keys of visited upstreams (8 bytes each) that follow."""
 
 RETURN = struct.Struct("!B6s")
 """Kind and caller."""
@@ -28,16 +27,16 @@
 MAX_VISITED = 255
 
 CACHED_ADDRESSES = 65_536
-"""Addresses whose packed or unpacked form is remembered; a soft cache."""
+"""Number of addresses whose packed or unpacked form is cached."""
 
 
 @dataclasses.dataclass(slots=True)
 class Forward:
-    """Carry a caller's datagram to a sidecar, or from one sidecar to the next of the walk.
+    """Carry a caller's datagram to a sidecar, or from one sidecar to the next.
 
-    `visited` holds the keys of the upstreams whose sidecars have already passed it on, so a walk
-    ends; `via` is the balancer that the answer may return by. Not frozen: that doubles the time
-    to make one.
+    `visited` holds the keys of the upstreams whose sidecars have already forwarded it, which ends
+    forwarding loops. `via` is the balancer through which the answer may return. The class is not
+    frozen, because creating a frozen instance takes twice as long.
     """
 
     KIND: typing.ClassVar[int] = 1
@@ -49,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Return:
-    """Carry a datagram for a caller to a balancer, which relays it unread."""
+    """Carry a datagram for a caller to a balancer, which relays it without decoding it."""
 
     KIND: typing.ClassVar[int] = 2
     caller: Address
@@ -57,18 +56,18 @@
 
 
 FULL_RAMP = 1000
-"""The ramp of a warm upstream, in thousandths of its weight."""
+"""The ramp of an upstream after its slow start, in thousandths of its weight."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Tell the sidecars of one service what the sender observes of its upstream.
+    """Report the load of the sender's upstream to the other sidecars of its service.
 
-    `pending` counts flows opened a moment ago that have not sent a request yet: without it a burst
-    of opens is invisible until it is too late. `caution` is work that only the upstream itself
-    claims to have. `connections` is the most flows it may hold, `latency` the recent time of a
-    request in ms, `ramp` the share of its weight that it may get now, in thousandths. `at` (ms) is
-    compared only with that of other reports of the same incarnation.
+    `pending` counts new flows that have not sent a request yet; without it, a burst of new flows
+    would not show until their requests arrive. `caution` is the load that the upstream reports
+    beyond what the sidecar counts. `connections` is the largest number of flows that it may hold,
+    `latency` the recent duration of a request in ms, and `ramp` the share of its weight during slow
+    start, in thousandths. `at` (ms) is compared only within one incarnation.
     """
 
     KIND: typing.ClassVar[int] = 3
@@ -90,12 +89,12 @@
 
     @property
     def work(self) -> int:
-        """Requests that the upstream has or is about to have."""
+        """The number of requests that the upstream has or is expected to get."""
         return self.running + self.queued + self.pending + self.caution
 
     @property
     def weight(self) -> float:
-        """The share of work that the upstream may get, in slots."""
+        """The upstream's weight for placement, in slots."""
         return max(self.slots * self.ramp / FULL_RAMP, 0.1)
 
 
@@ -104,14 +103,14 @@
 
 @functools.lru_cache(CACHED_ADDRESSES)
 def pack_address(address: Address) -> bytes:
-    """Return the six bytes that stand for an address."""
+    """Return an address encoded in six bytes."""
     host, port = address
     return bytes(map(int, host.split("."))) + port.to_bytes(2)
 
 
 @functools.lru_cache(CACHED_ADDRESSES)
 def unpack_address(data: bytes) -> Address:
-    """Return the address that six bytes stand for."""
+    """Return the address encoded in six bytes."""
     return ".".join(map(str, data[:4])), int.from_bytes(data[4:])
 
 
@@ -137,7 +136,7 @@
 
 
 def unpack(content: bytes) -> Forward | Return | LoadReport:
-    """Return the message that the content is; raise `DatagramError` if it is none."""
+    """Return the message in the content; raise `DatagramError` if it is malformed."""
     kind = content[0] if content else 0
     if kind == Return.KIND and len(content) >= RETURN.size:
         _, caller = RETURN.unpack_from(content)
@@ -150,4 +149,4 @@
             return Forward(unpack_address(caller), unpack_address(via), visited, content[end:])
     if kind == LoadReport.KIND:
         return LOADS.decode(content[1:])
-    raise errors.DatagramError("not of the packet path", step="decode", peer="peer")
+    raise errors.DatagramError("not a packet path message", step="decode", peer="peer")
--- a/src/ebonystile/peer/seal.py
+++ b/src/ebonystile/peer/seal.py
@@ -1,9 +1,9 @@
 """Seal and open the datagrams between the system's processes with a keyed MAC.
 
 A sealed datagram is `key id (1 byte) | MAC (16 bytes) | incarnation, sequence, revision (8 bytes
-each) | content`. The MAC is keyed BLAKE2b (RFC 7693) over all that follows it. Several keys may be
-known at once, so that a key can be replaced without a moment at which processes refuse one
-another; the first one seals. Content is a CBOR array, or a header of the packet path (messages.py).
+each) | content`. The MAC is keyed BLAKE2b (RFC 7693) over all bytes that follow it. Several keys
+are accepted at once, so that keys can be rotated without rejecting valid datagrams; the first one
+seals. The content is a CBOR array, or a message of the packet path (messages.py).
 """
 
 import collections
@@ -18,37 +18,37 @@
 from ebonystile import errors
 
 MAC_BYTES = 16
-SEALED = 1 + MAC_BYTES
-"""Where the sealed part of a datagram begins."""
+SEALED_OFFSET = 1 + MAC_BYTES
+"""Offset of the part of a datagram that the MAC covers."""
 
 HEADER = struct.Struct("!QQQ")
-"""Incarnation, sequence and revision of the sender."""
+"""The sender's incarnation, sequence number and revision."""
 
-CONTENT = SEALED + HEADER.size
-"""Where the content of a datagram begins."""
+CONTENT_OFFSET = SEALED_OFFSET + HEADER.size
+"""Offset of a datagram's content."""
 
 REPLAY_WINDOW = 1024
-"""How far behind the newest sequence number of a sender a datagram may arrive."""
+"""How many sequence numbers behind a sender's newest one a datagram is still accepted."""
 
 MAX_SENDERS = 20_000
-"""Senders remembered at once; the least recently heard is forgotten first.
+"""Largest number of senders with a replay window; the least recently active is dropped first.
 
-More than the 18,000 processes of the target size: with fewer, a balancer that hears all sidecars in
-turn would forget each before it is heard again, and take its old datagrams for new ones.
+It exceeds the 18,000 processes of the largest supported deployment. With fewer, a balancer that
+receives from all sidecars in turn would drop each window before its next use and accept replays.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Key:
-    """A secret shared by the system's processes; `id` (0-255) names it on the wire."""
+    """A secret shared by the system's processes; `id` (0-255) identifies it on the wire."""
 
     id: int
     secret: bytes
 
 
 @dataclasses.dataclass(slots=True)
-class Opened:
-    """What a sealed datagram says: who sent it, the revision in force there, and the content."""
+class OpenedDatagram:
+    """The content of a verified datagram, with its sender's incarnation and revision in force."""
 
     incarnation: int
     revision: int
@@ -56,18 +56,18 @@
 
     @property
     def body(self) -> list:
-        """The items of a CBOR content; raise `DatagramError` if it is none."""
+        """The items of the CBOR content; raise `DatagramError` if it is not valid CBOR."""
         try:
             return cbor2.loads(self.content)
         except Exception as error:
-            raise fault(f"not CBOR: {error}") from error
+            raise make_error(f"not CBOR: {error}") from error
 
 
 class ReplayWindow:
-    """Tell a sequence number seen before from a new one, as RFC 4303 section 3.4.3 does.
+    """A sliding window that rejects repeated sequence numbers, as in RFC 4303 section 3.4.3.
 
-    Without it a datagram recorded on the wire could be sent again later; every message is
-    idempotent, so the symptom would be wasted work and stale hints rather than a second run.
+    Every message is idempotent, so a replayed datagram could not run a request twice, but it would
+    waste work and deliver stale reports.
     """
 
     __slots__ = ("newest", "seen")
@@ -91,7 +91,7 @@
 
 
 class Seal:
-    """Seal what one process sends and open what it receives."""
+    """Seals the datagrams that one process sends and opens those that it receives."""
 
     def __init__(self, keys: typing.Sequence[Key], incarnation: int):
         if not keys:
@@ -100,10 +100,10 @@
         self.sequence = 0
         self.revision = 0
         self.key_id = bytes((keys[0].id,))
-        self.states = {
+        self.keyed_macs = {
             key.id: hashlib.blake2b(key=key.secret, digest_size=MAC_BYTES) for key in keys
         }
-        self.own_state = self.states[keys[0].id]
+        self.own_mac = self.keyed_macs[keys[0].id]
         self.windows: collections.OrderedDict[int, ReplayWindow] = collections.OrderedDict()
 
     def seal(self, body: list) -> bytes:
@@ -114,32 +114,32 @@
         """Return the sealed datagram for the content."""
         self.sequence += 1
         sealed = HEADER.pack(self.incarnation, self.sequence, self.revision) + content
-        state = self.own_state.copy()
-        state.update(sealed)
-        return self.key_id + state.digest() + sealed
+        mac = self.own_mac.copy()
+        mac.update(sealed)
+        return self.key_id + mac.digest() + sealed
 
-    def open(self, data: bytes, *, replayable: bool = False) -> Opened:
-        """Return what `data` says; raise `DatagramError` if it is forged, damaged or replayed.
+    def open(self, data: bytes, *, replayable: bool = False) -> OpenedDatagram:
+        """Verify and decode `data`; raise `DatagramError` if it is forged, damaged or replayed.
 
-        `replayable` skips the last check, for bulk exchanges: those travel over TCP and may be
-        held up there behind more datagrams than the window holds. All of them are idempotent.
+        `replayable` skips the replay check for bulk exchanges: they use TCP and may be delayed by
+        more datagrams than the window holds. All of them are idempotent.
         """
-        if len(data) < CONTENT:
-            raise fault("too short")
-        known = self.states.get(data[0])
-        if known is None:
-            raise fault(f"key {data[0]} is not known here")
-        state = known.copy()
-        state.update(data[SEALED:])
-        if not hmac.compare_digest(state.digest(), data[1:SEALED]):
-            raise fault("the MAC does not match")
-        incarnation, sequence, revision = HEADER.unpack_from(data, SEALED)
-        if not replayable and not self.window_of(incarnation).accept(sequence):
-            raise fault("replayed")
-        return Opened(incarnation, revision, data[CONTENT:])
-
-    def window_of(self, incarnation: int) -> ReplayWindow:
-        """Return the sender's replay window, forgetting the stalest sender beyond the bound."""
+        if len(data) < CONTENT_OFFSET:
+            raise make_error("too short")
+        keyed_mac = self.keyed_macs.get(data[0])
+        if keyed_mac is None:
+            raise make_error(f"unknown key {data[0]}")
+        mac = keyed_mac.copy()
+        mac.update(data[SEALED_OFFSET:])
+        if not hmac.compare_digest(mac.digest(), data[1:SEALED_OFFSET]):
+            raise make_error("the MAC does not match")
+        incarnation, sequence, revision = HEADER.unpack_from(data, SEALED_OFFSET)
+        if not replayable and not self.replay_window(incarnation).accept(sequence):
+            raise make_error("replayed")
+        return OpenedDatagram(incarnation, revision, data[CONTENT_OFFSET:])
+
+    def replay_window(self, incarnation: int) -> ReplayWindow:
+        """Return the sender's replay window; drop the least recently used beyond `MAX_SENDERS`."""
         window = self.windows.get(incarnation)
         if window is None:
             window = self.windows[incarnation] = ReplayWindow()
@@ -150,11 +150,11 @@
         return window
 
 
-def fault(reason: str) -> errors.DatagramError:
-    """Return the error for a datagram that does not open."""
+def make_error(reason: str) -> errors.DatagramError:
+    """Return the error for a datagram that cannot be opened."""
     return errors.DatagramError(reason, step="open datagram", peer="peer")
 
 
 def make_seal(keys: typing.Iterable[typing.Any], incarnation: int) -> Seal:
-    """Return a seal for keys with `id` and `secret`, the first of which seals."""
+    """Return a seal for keys with an `id` and a `secret`; the first one seals."""
     return Seal([Key(key.id, key.secret) for key in keys], incarnation)
--- a/src/ebonystile/peer/transfer.py
+++ b/src/ebonystile/peer/transfer.py
@@ -1,4 +1,4 @@
-"""The messages by which one sidecar hands a flow to another, over websockets in bulk."""
+"""The messages by which one sidecar hands a flow over to another, sent as bulk exchanges."""
 
 import dataclasses
 import typing
@@ -12,8 +12,8 @@
 class Transfer:
     """Hand over a flow with its finished records and the positions of its feeds.
 
-    `incarnation` names the start of the target that may take it; 0 only asks which one runs. The
-    target refuses after `deadline`, so a copy held up on the way cannot be taken long afterwards.
+    `incarnation` is the target's incarnation that may accept the flow; 0 only asks for the current
+    one. The target refuses after `deadline`, so a delayed copy cannot be accepted later.
     Records are (request, state, service, deadline, idempotent, keep_until, answer, status, body,
     reason, retry_at); feeds are (request, path, acknowledged position).
     """
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferReply:
-    """Say which incarnation answers and whether it is now the flow's home; if not, why."""
+    """Report the answering incarnation and whether it is now the flow's home; if not, why."""
 
     KIND: typing.ClassVar[int] = 129
     id: bytes
--- a/src/ebonystile/upstream/__init__.py
+++ b/src/ebonystile/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Speak with the upstream beside a sidecar over HTTP."""
+"""The HTTP client for the upstream beside a sidecar."""
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -396,7 +396,7 @@
     Mutation(
         "check of the MAC",
         "src/ebonystile/peer/seal.py",
-        "if not hmac.compare_digest(state.digest(), data[1:SEALED]):",
+        "if not hmac.compare_digest(mac.digest(), data[1:SEALED_OFFSET]):",
         "if False:",
     ),
     Mutation(
--- a/tests/upstream/test_upstream_client.py
+++ b/tests/upstream/test_upstream_client.py
@@ -104,7 +104,7 @@
         (web.Answer(503, headers={"X-Not-Run": "1", "Retry-After-Ms": "-70"}), False, False),
         (web.Answer(503, headers={"X-Not-Run": "yes", "Retry-After-Ms": "9" * 99}), True, False),
         (web.Answer(200, headers={"X-Not-Run": "0"}), True, False),
-        (web.Answer(200, b"x" * (client.MAX_ANSWER + 1)), True, False),
+        (web.Answer(200, b"x" * (client.MAX_ANSWER_BYTES + 1)), True, False),
     ],
 )
 def test_a_lost_or_refused_answer_says_truthfully_whether_it_may_have_run(
