--- a/src/ebonystile/codec.py
+++ b/src/ebonystile/codec.py
@@ -66,7 +66,7 @@
         self.names: dict[type, tuple[str, ...]] = {}
         for message_type in message_types:
             if message_type.KIND in self.by_kind:
-                raise ValueError(f"kind {message_type.KIND} is taken twice")
+                raise ValueError(f"kind {message_type.KIND} is used twice")
             hints = typing.get_type_hints(message_type)
             fields = [f.name for f in dataclasses.fields(message_type)]
             checks = [(name, make_check(hints[name])) for name in fields]
@@ -92,7 +92,7 @@
             # The library raises many types of exceptions for malformed input.
             raise self.make_error(f"not CBOR: {error}") from error
         if file.tell() < len(data):
-            raise self.make_error("more follows the message")
+            raise self.make_error("trailing bytes after the message")
         return self.from_items(items)
 
     def from_items(self, items: typing.Any) -> typing.Any:
--- a/src/ebonystile/daemon/answers.py
+++ b/src/ebonystile/daemon/answers.py
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """The identity of a process; `started` is the time of its start in ms."""
+    """The identity of a process; `started_at` is the time of its start in ms."""
 
     name: str
     role: str
     zone: str
     incarnation: int
-    started: int
+    started_at: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 @functools.singledispatch
 def answer(question: messages.Question, process: ProcessState) -> messages.Answer:
     """Return the answer to one question."""
-    return messages.Refused(question.id, "this process doesn't know the question")
+    return messages.Refused(question.id, "unknown question")
 
 
 @answer.register
@@ -78,7 +78,7 @@
         version=ebonystile.__version__,
         incarnation=identity.incarnation,
         now=process.now,
-        started=identity.started,
+        started=identity.started_at,
         revision=process.core.view.revision,
         instances_revision=process.core.view.instances_revision,
         leaving=summary.leaving or process.shell.leaving,
@@ -93,13 +93,13 @@
 
 @answer.register
 def _(question: messages.EventsRequest, process: ProcessState) -> messages.Events:
-    wanted = timeline.Filter(
+    record_filter = timeline.Filter(
         question.flow, question.request, question.upstream, question.event, question.since
     )
     limit = min(question.limit, messages.MAX_EVENTS)
     records = []
     size = 0
-    for record in reversed(process.ring.select(wanted, limit)):
+    for record in reversed(process.ring.select(record_filter, limit)):
         encoded = messages.RECORDS.encode(record)
         size += len(encoded)
         if size > MAX_RECORDS_BYTES:
@@ -147,10 +147,14 @@
 
 @summarize_core.register
 def _(core: sidecar_state.SidecarState) -> CoreSummary:
-    held = sum(not flow.is_fenced for flow in core.flows.values())
+    flow_count = sum(not flow.is_fenced for flow in core.flows.values())
     slots = core.slots
     return CoreSummary(
-        held, len(slots.running), len(slots.queue), core.leaving_reason, tuple(core.served_services)
+        flow_count,
+        len(slots.running),
+        len(slots.queue),
+        core.leaving_reason,
+        tuple(core.served_services),
     )
 
 
@@ -165,7 +169,7 @@
         return "", "the token is of another service: dropped"
     home = core.view.endpoints.get(token.upstream)
     if home is None:
-        return "", "the token's upstream is not in this view: the ranking is walked"
+        return "", "the token's upstream is not in this view: an open goes by the ranking"
     return home.name, f"the token names it (flow incarnation {token.incarnation:016x})"
 
 
--- a/src/ebonystile/daemon/control.py
+++ b/src/ebonystile/daemon/control.py
@@ -181,7 +181,7 @@
             self.post_event(future.result())
             return
         if not isinstance(error, errors.EbonystileError):
-            logs.failure("platform_call_failed", error)
+            logs.exception("platform_call_failed", error)
         else:
             self.report_event("platform_failed", level="WARNING", stream=stream, error=str(error))
         self.post_event(gossip.PlatformFailed(stream))
@@ -207,7 +207,7 @@
             self.post_event(future.result())
             return
         if not isinstance(error, errors.EbonystileError):
-            logs.failure("pull_failed", error)
+            logs.exception("pull_failed", error)
         else:
             self.report_event("pull_failed", level="DEBUG", error=str(error))
         self.post_event(gossip.FetchFailed(nonce))
--- a/src/ebonystile/daemon/guard.py
+++ b/src/ebonystile/daemon/guard.py
@@ -18,7 +18,7 @@
     try:
         owner.run()
     except Exception as error:
-        logs.failure("bug", error)
+        logs.exception("bug", error)
         os._exit(FAILURE)
     for number in (signal.SIGTERM, signal.SIGINT):
         # At exit Python restores the default action of handled signals, but not of ignored ones.
--- a/src/ebonystile/daemon/reporting.py
+++ b/src/ebonystile/daemon/reporting.py
@@ -57,7 +57,9 @@
         )
         self.metrics = metrics.make_metrics()
         self.metrics.tally("events", "Events by their names.", counts, "event")
-        self.lag = self.metrics.latency("loop_lag_seconds", "Lag of the thread that decides.")
+        self.lag = self.metrics.latency(
+            "loop_lag_seconds", "Lag of the event loop of the owner thread."
+        )
         self.lag_due = clock.now() + LAG_INTERVAL_MS
         self.lock = threading.Lock()
         self.rate_window_end = 0
--- a/src/ebonystile/daemon/server.py
+++ b/src/ebonystile/daemon/server.py
@@ -203,7 +203,7 @@
         except Exception as error:
             # A bug in one handler must not end the server for other peers.
             self.count("handler_failed")
-            logs.failure("exchange_failed", error)
+            logs.exception("exchange_failed", error)
             return None
         self.count("answered")
         return answer
--- a/src/ebonystile/daemon/sidecar.py
+++ b/src/ebonystile/daemon/sidecar.py
@@ -247,7 +247,7 @@
             retry_at = error.retry_at or 0
             self.post_event(events.Failed(key, error.reason, error.may_have_run, retry_at))
         else:
-            logs.failure("run_failed", error)
+            logs.exception("run_failed", error)
             self.post_event(events.Failed(key, EXECUTOR_FAILED, True))
 
     def on_poll_done(self, effect: effects.PollFeed, future: concurrent.futures.Future) -> None:
@@ -288,7 +288,7 @@
             self.post_event(events.TransferAnswered(sent.flow, future.result()))
             return
         if not isinstance(error, errors.EbonystileError):
-            logs.failure("transfer_failed", error)
+            logs.exception("transfer_failed", error)
         self.post_event(events.TransferFailed(sent.flow, sent.id, str(error)))
 
 
--- a/src/ebonystile/logs.py
+++ b/src/ebonystile/logs.py
@@ -35,7 +35,7 @@
     loguru.logger.bind(fields=fields).log(level, name)
 
 
-def failure(name: str, error: BaseException, /, **fields: typing.Any) -> None:
+def exception(name: str, error: BaseException, /, **fields: typing.Any) -> None:
     """Log an unexpected exception as an error event, with its traceback in one field."""
     lines = traceback.format_exception(error)
     event(name, level="ERROR", **fields, error=repr(error), traceback="".join(lines))
--- a/src/ebonystile/loop.py
+++ b/src/ebonystile/loop.py
@@ -182,11 +182,11 @@
         The kernel reports the ICMP error of an earlier send on the next receive; it is ignored.
         """
         receive, on_datagram = self.udp.recvfrom, self.on_datagram
-        for taken in range(self.batch):
+        for received in range(self.batch):
             try:
                 data, source = receive(RECEIVE_BYTES)
             except BlockingIOError:
-                self.batch = max(1, taken)
+                self.batch = max(1, received)
                 self.behind_since = None
                 return
             except OSError:
--- a/src/ebonystile/settings.py
+++ b/src/ebonystile/settings.py
@@ -21,8 +21,8 @@
 NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?")
 """Valid names; the documents that the platform publishes have the same rule."""
 
-SECOND = 1_000
-MINUTE = 60 * SECOND
+SECOND_MS = 1_000
+MINUTE_MS = 60 * SECOND_MS
 
 
 def parse_address(value: typing.Any) -> view.Address:
@@ -75,7 +75,7 @@
 LogLevel = typing.Literal["DEBUG", "INFO", "WARNING", "ERROR"]
 
 
-def duration(default: int, description: str, *, minimum: int = 1, maximum: int = 60 * MINUTE):
+def duration(default: int, description: str, *, minimum: int = 1, maximum: int = 60 * MINUTE_MS):
     """Return a field for a duration in milliseconds."""
     return pydantic.Field(default, ge=minimum, le=maximum, description=description)
 
@@ -130,30 +130,30 @@
     )
     log_level: LogLevel = pydantic.Field("INFO", description="Least level of the lines logged.")
     watch_ms: int = duration(
-        2 * SECOND,
+        2 * SECOND_MS,
         "How long one watch of the platform waits for a newer revision. Its answer confirms the "
         "configuration for all; where that is old, other processes begin to watch.",
         minimum=100,
-        maximum=5 * SECOND,
+        maximum=5 * SECOND_MS,
     )
     instances_poll_ms: int = duration(
-        2 * SECOND,
+        2 * SECOND_MS,
         "Least time between two reads of the platform's list, by the few processes that read it.",
     )
     exchange_ms: int = duration(
-        SECOND, "How often a balancer compares revisions with a random peer; sidecars a quarter."
+        SECOND_MS, "How often a balancer compares revisions with a random peer; sidecars a quarter."
     )
     drain_ms: int = duration(
-        30 * SECOND,
+        30 * SECOND_MS,
         "Longest time between SIGTERM and the end of the process, which comes as soon as nothing "
         "is left to do.",
-        maximum=24 * 60 * MINUTE,
+        maximum=24 * 60 * MINUTE_MS,
     )
     tcp_connection_limit: int = integer(64, "TCP connections held at once; more are refused.")
     event_limit: int = integer(10_000, "Events kept in memory for the time line; oldest go first.")
 
 
-def share(default: float, description: str, *, maximum: float = 1.0):
+def ratio(default: float, description: str, *, maximum: float = 1.0):
     """Return a field for a share or another ratio."""
     return pydantic.Field(default, ge=0, le=maximum, description=description)
 
@@ -166,7 +166,7 @@
     )
     lag_ms: int = duration(50, "Lag behind the arriving datagrams beyond which less is carried.")
     return_soonest_ms: int = duration(200, "Soonest that a refused caller is told to come back.")
-    return_latest_ms: int = duration(5 * SECOND, "Latest that a refused caller is told to.")
+    return_latest_ms: int = duration(5 * SECOND_MS, "Latest that a refused caller is told to.")
 
 
 class SpreadingSettings(validation.StrictModel):
@@ -178,28 +178,28 @@
         "power-of-two", description="How it is decided whether an open is kept or passed on."
     )
     candidates: int = integer(2, "Siblings compared for an open (power-of-two).", maximum=64)
-    work_gap: float = share(
+    work_gap: float = ratio(
         0.3,
         "Requests a slot by which a sibling must have less for an open to go there.",
         maximum=100,
     )
-    flow_gap: float = share(0.1, "Share of flows by which it must hold fewer, with work alike.")
+    flow_gap: float = ratio(0.1, "Share of flows by which it must hold fewer, with work alike.")
     passes: int = integer(3, "How often an open is passed on at most.", minimum=0, maximum=8)
-    report_fade: float = share(
+    report_fade: float = ratio(
         0.5,
         "Time in which a report fades towards the mean, in recent request times; 0 never fades.",
         maximum=100,
     )
-    report_ms: int = duration(SECOND, "How often siblings are told the load.", minimum=100)
+    report_ms: int = duration(SECOND_MS, "How often siblings are told the load.", minimum=100)
     report_least_ms: int = duration(100, "Least time between two reports of changed load.")
     report_step: int = integer(2, "Change of work, in requests, that is reported early.")
     report_fanout: int = integer(8, "Siblings that are told.", maximum=64)
-    stale_after_ms: int = duration(3 * SECOND, "Age at which a sibling's report is ignored.")
+    stale_after_ms: int = duration(3 * SECOND_MS, "Age at which a sibling's report is ignored.")
     ramp_ms: int = duration(
-        30 * SECOND, "Time in which a fresh or returning upstream gets to its whole weight."
+        30 * SECOND_MS, "Time in which a fresh or returning upstream gets to its whole weight."
     )
     claim_frozen_ms: int = duration(
-        30 * SECOND, "Time after which an unchanged load that the upstream claims is ignored."
+        30 * SECOND_MS, "Time after which an unchanged load that the upstream claims is ignored."
     )
     queue_order: typing.Literal["fifo", "deadline"] = pydantic.Field(
         "fifo", description="Which queued request runs next: the oldest or the most urgent."
@@ -208,13 +208,14 @@
         "shrink", description="What becomes of the slots in use while the upstream sheds."
     )
     return_horizon_ms: int = duration(
-        10 * SECOND, "Latest that a refused request is told to come back."
+        10 * SECOND_MS, "Latest that a refused request is told to come back."
     )
     suspect_failures: int = integer(3, "Failures in a row that make the upstream suspected.")
     suspect_hold_ms: int = duration(
-        2 * SECOND, "First time that a suspected upstream is left alone; doubled at each relapse."
+        2 * SECOND_MS,
+        "First time that a suspected upstream is left alone; doubled at each relapse.",
     )
-    suspect_longest_ms: int = duration(2 * MINUTE, "Longest time that it is left alone.")
+    suspect_longest_ms: int = duration(2 * MINUTE_MS, "Longest time that it is left alone.")
 
 
 class BalancerSettings(ProcessSettings):
@@ -249,31 +250,31 @@
         64 << 20, "Bytes of answers and uploads remembered at once.", maximum=16 << 30
     )
     flow_lease_ms: int = duration(
-        3 * MINUTE, "How long a flow stays without a sign of its caller.", minimum=10 * SECOND
+        3 * MINUTE_MS, "How long a flow stays without a sign of its caller.", minimum=10 * SECOND_MS
     )
     ledger_margin_ms: int = duration(
-        10 * SECOND, "How long after its deadline a request and its answer are remembered."
+        10 * SECOND_MS, "How long after its deadline a request and its answer are remembered."
     )
     skew_bound_ms: int = duration(
-        2 * SECOND, "Most by which the clocks of callers and instances are trusted to differ."
+        2 * SECOND_MS, "Most by which the clocks of callers and instances are trusted to differ."
     )
     max_deadline_ms: int = duration(
-        10 * MINUTE, "Furthest deadline taken; bounds how long the ledger must remember."
+        10 * MINUTE_MS, "Furthest deadline taken; bounds how long the ledger must remember."
     )
     health_poll_ms: int = duration(
-        SECOND, "How often the upstream's health and drain state are read."
+        SECOND_MS, "How often the upstream's health and drain state are read."
     )
-    load_poll_ms: int = duration(SECOND, "How often the upstream's load is read.")
+    load_poll_ms: int = duration(SECOND_MS, "How often the upstream's load is read.")
     spreading: SpreadingSettings = pydantic.Field(
         SpreadingSettings(), description="How work is spread over the sidecars of a service."
     )
 
     drain_ms: int = duration(
-        11 * MINUTE,
+        11 * MINUTE_MS,
         "Longest time between SIGTERM and the end of the process, which comes as soon as nothing "
         "runs and every flow is handed over; at least the furthest deadline, so that no request "
         "in progress is cut off.",
-        maximum=24 * 60 * MINUTE,
+        maximum=24 * 60 * MINUTE_MS,
     )
 
     @pydantic.model_validator(mode="after")
@@ -303,7 +304,7 @@
         description="Processes that tell of the others when the platform doesn't answer.",
     )
     keys: Keys = pydantic.Field(description="Keys of the system's processes; the first one signs.")
-    wait_ms: int = duration(2 * SECOND, "Longest time that one command waits for processes.")
+    wait_ms: int = duration(2 * SECOND_MS, "Longest time that one command waits for processes.")
     parallel: int = integer(64, "Processes asked at the same time.", maximum=1_000)
 
     @pydantic.model_validator(mode="after")
--- a/src/ebonystile/timeline.py
+++ b/src/ebonystile/timeline.py
@@ -129,8 +129,8 @@
     twice can cause, is broken at its oldest record.
     """
     ordered = sorted(set(records), key=sort_key)
-    effects, waiting = causal_graph(ordered)
-    ready = [(sort_key(r), n) for n, r in enumerate(ordered) if not waiting[n]]
+    effects, pending_causes = causal_graph(ordered)
+    ready = [(sort_key(r), n) for n, r in enumerate(ordered) if not pending_causes[n]]
     heapq.heapify(ready)
     merged: list[Record] = []
     done = [False] * len(ordered)
@@ -138,14 +138,14 @@
     while len(merged) < len(ordered):
         while done[oldest]:
             oldest += 1
-        number = heapq.heappop(ready)[1] if ready else oldest
-        if done[number]:
+        index = heapq.heappop(ready)[1] if ready else oldest
+        if done[index]:
             continue
-        done[number] = True
-        merged.append(ordered[number])
-        for effect in effects[number]:
-            waiting[effect] -= 1
-            if not waiting[effect] and not done[effect]:
+        done[index] = True
+        merged.append(ordered[index])
+        for effect in effects[index]:
+            pending_causes[effect] -= 1
+            if not pending_causes[effect] and not done[effect]:
                 heapq.heappush(ready, (sort_key(ordered[effect]), effect))
     return merged
 
@@ -158,35 +158,35 @@
 def causal_graph(ordered: list[Record]) -> tuple[list[list[int]], list[int]]:
     """Return the effects of each record by index, and the number of causes of each record."""
     effects: list[list[int]] = [[] for _ in ordered]
-    waiting = [0] * len(ordered)
+    pending_causes = [0] * len(ordered)
     for cause, effect in [*process_order(ordered), *link_order(ordered)]:
         effects[cause].append(effect)
-        waiting[effect] += 1
-    return effects, waiting
+        pending_causes[effect] += 1
+    return effects, pending_causes
 
 
 def process_order(ordered: list[Record]) -> list[tuple[int, int]]:
     """Return pairs of adjacent records in the sequence of each incarnation of each process."""
     by_process = collections.defaultdict(list)
-    for number, record in enumerate(ordered):
-        by_process[record.process, record.incarnation].append(number)
+    for index, record in enumerate(ordered):
+        by_process[record.process, record.incarnation].append(index)
     pairs = []
-    for numbers in by_process.values():
-        numbers.sort(key=lambda n: ordered[n].sequence)
-        pairs += zip(numbers, numbers[1:], strict=False)
+    for indices in by_process.values():
+        indices.sort(key=lambda n: ordered[n].sequence)
+        pairs += zip(indices, indices[1:], strict=False)
     return pairs
 
 
 def link_order(ordered: list[Record]) -> list[tuple[int, int]]:
     """Return pairs of records of the same exchange, each with one of a lower step."""
     by_link = collections.defaultdict(list)
-    for number, record in enumerate(ordered):
+    for index, record in enumerate(ordered):
         if record.link:
-            by_link[record.link].append(number)
+            by_link[record.link].append(index)
     pairs = []
-    for numbers in by_link.values():
-        numbers.sort(key=lambda n: ordered[n].step)
-        for effect in numbers:
-            earlier = [n for n in numbers if ordered[n].step < ordered[effect].step]
+    for indices in by_link.values():
+        indices.sort(key=lambda n: ordered[n].step)
+        for effect in indices:
+            earlier = [n for n in indices if ordered[n].step < ordered[effect].step]
             pairs += [(cause, effect) for cause in earlier]
     return pairs
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -44,6 +44,6 @@
     try:
         {}["absent"]
     except KeyError as error:
-        logs.failure("bug", error)
+        logs.exception("bug", error)
     [line] = capfd.readouterr().err.splitlines()
     assert "level=ERROR" in line and "Traceback" in line and "absent" in line
