--- a/tests/checks.py
+++ b/tests/checks.py
@@ -27,7 +27,7 @@
         if not any(known.endswith(text) for known in self.faults):
             self.faults.append(line)
 
-    def after_event(self, home: wires.Home, event) -> None:
+    def after_event(self, home: wires.SidecarProcess, event) -> None:
         """Check one home after one decision."""
         core = home.core
         revision = (core.view.revision, core.view.instances_revision)
@@ -86,7 +86,7 @@
 def check_single_home(checks: Checks) -> None:
     """Check that no incarnation is answered for by two homes that may run requests."""
     held = collections.defaultdict(set)
-    for home in checks.wire.homes.values():
+    for home in checks.wire.sidecars.values():
         for flow in home.core.flows.values() if home.core else ():
             if flow.is_fenced:
                 continue
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -116,7 +116,7 @@
         self.ports = itertools.count(300)
         self.callers: list[call.Call] = []
         self.labels: dict[str, set[str]] = {}
-        self.started: list[wires.Home] = []
+        self.started: list[wires.SidecarProcess] = []
         self.leaving: set[str] = set()
         self.struck: list[str] = []
         self.wire.message_delays = self.message_delays
@@ -129,25 +129,25 @@
         for port in (100, 101):
             self.wire.add_balancer(port)
         for number in range(3):
-            self.add_home(f"ledger-{number}", wires.SERVICE, 200 + number)
+            self.add_sidecar(f"ledger-{number}", wires.SERVICE, 200 + number)
         for number in range(2):
-            self.add_home(f"photos-{number}", PHOTOS, 210 + number)
+            self.add_sidecar(f"photos-{number}", PHOTOS, 210 + number)
         self.publish(at_once=True)
 
-    def add_home(self, name: str, kind: str, port: int) -> wires.Home:
+    def add_sidecar(self, name: str, kind: str, port: int) -> wires.SidecarProcess:
         """Start an upstream with its sidecar and label it."""
         self.labels[name] = {kind}
-        self.started.append(self.wire.add_home(name, port, kind))
+        self.started.append(self.wire.add_sidecar(name, port, kind))
         return self.started[-1]
 
-    def home(self, name: str) -> wires.Home | None:
+    def home(self, name: str) -> wires.SidecarProcess | None:
         """Return a living home by name."""
-        return next((h for h in self.wire.homes.values() if h.name == name), None)
+        return next((h for h in self.wire.sidecars.values() if h.name == name), None)
 
     def publish(self, at_once: bool = False) -> None:
         """Publish what the labels and the list say; it spreads unevenly."""
         members = {
-            service: [h for h in self.wire.homes.values() if service in self.labels[h.name]]
+            service: [h for h in self.wire.sidecars.values() if service in self.labels[h.name]]
             for service in (wires.SERVICE, PHOTOS)
         }
         if at_once:
@@ -158,10 +158,10 @@
         self.wire.confirm()
         self.on_step("configuration spread", self.busiest(), True)
 
-    def busiest(self) -> wires.Home:
+    def busiest(self) -> wires.SidecarProcess:
         """Return the home of the first caller's flow, or any other."""
         flow = self.callers[0].flow if self.callers else b""
-        homes = list(self.wire.homes.values()) or self.started
+        homes = list(self.wire.sidecars.values()) or self.started
         held = [h for h in homes if h.core and flow in h.core.flows]
         serving = [h for h in held if not h.core.flows[flow].is_fenced]
         return (serving or held or homes)[0]
@@ -220,7 +220,7 @@
 
     def check_living(self, probes: tuple[bytes, ...], moved: int) -> None:
         """Once every fault is over, requests are answered and feeds go on."""
-        if not any(h.core and h.core.can_start(wires.SERVICE) for h in self.wire.homes.values()):
+        if not any(h.core and h.core.can_start(wires.SERVICE) for h in self.wire.sidecars.values()):
             return
         for result in (self.checks.asked[probe].result for probe in probes):
             if result is None or result.outcome is not progress.Outcome.ANSWERED:
@@ -286,7 +286,7 @@
         self.leaver = self.busiest()
         self.leave(self.leaver)
 
-    def leave(self, home: wires.Home) -> None:
+    def leave(self, home: wires.SidecarProcess) -> None:
         """Mark an instance as leaving."""
         self.leaving.add(home.name)
         if not self.wire.platform_down and not home.stale and home.paused_until <= self.wire.now:
@@ -296,7 +296,7 @@
     def stay(self, name: str) -> None:
         """Take back that an instance leaves, whichever process it runs by now."""
         self.leaving.discard(name)
-        for home in self.wire.homes.values():
+        for home in self.wire.sidecars.values():
             if home.name == name:
                 home.left_at = None
         self.publish()
@@ -314,18 +314,18 @@
             else:
                 self.wire.schedule(200, self.end_drained)
 
-    def homes_core(self, home: wires.Home):
+    def homes_core(self, home: wires.SidecarProcess):
         """Return the core if that very process still runs at its address."""
-        return home.core if self.wire.homes.get(home.address) is home else None
+        return home.core if self.wire.sidecars.get(home.address) is home else None
 
-    def end(self, home: wires.Home) -> None:
+    def end(self, home: wires.SidecarProcess) -> None:
         """End a process and take it out of the list."""
         self.wire.kill(home)
         self.leaving.discard(home.name)
 
     def bring_back(self) -> None:
         """Start a replacement."""
-        self.add_home("ledger-new", wires.SERVICE, 220)
+        self.add_sidecar("ledger-new", wires.SERVICE, 220)
         self.publish()
 
     # Faults
@@ -337,14 +337,14 @@
             delays = put.on_message(source, target, kind, delays)
         return delays
 
-    def run_delays(self, home: wires.Home) -> list[int]:
+    def run_delays(self, home: wires.SidecarProcess) -> list[int]:
         """Return the delay of the exchange that hands a request to an upstream."""
         for put in self.armed:
             if put.step == "handed to the upstream" and put.fault in PACKET_FAULTS and put.due():
                 return {"loss": [], "loss for long": [], "long delay": [LONG]}.get(put.fault, [40])
         return [wires.HOP_MS]
 
-    def on_step(self, step: str, home: wires.Home, after: bool) -> None:
+    def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
         """Let the faults strike that wait for a step."""
         for put in self.armed:
             put.on_step(step, home, after)
@@ -355,7 +355,7 @@
         self.wire.platform_down = False
         for put in self.armed:
             put.over = True
-        for home in list(self.wire.homes.values()):
+        for home in list(self.wire.sidecars.values()):
             home.stale = False
             home.upstream_down_until = 0
             home.paused_until = min(home.paused_until, self.wire.now)
@@ -393,7 +393,7 @@
         wire = self.day.wire
         if self.fault not in PACKET_FAULTS:
             if self.due():
-                home = wire.homes.get(target) or wire.homes.get(source) or self.day.busiest()
+                home = wire.sidecars.get(target) or wire.sidecars.get(source) or self.day.busiest()
                 delay = 0 if self.fault.endswith("before") else 2
                 wire.schedule(delay, lambda: self.strike(home, source, target))
             return delays
@@ -404,7 +404,7 @@
         self.until = wire.now + DEADLINE // 2
         return PACKET_FAULTS[self.fault](delays)
 
-    def on_step(self, step: str, home: wires.Home, after: bool) -> None:
+    def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
         """Strike at a step that a sidecar takes."""
         if self.fault in PACKET_FAULTS:
             return
@@ -420,12 +420,12 @@
         ):
             self.on_accepted(home, after)
 
-    def on_accepted(self, home: wires.Home, after: bool) -> None:
+    def on_accepted(self, home: wires.SidecarProcess, after: bool) -> None:
         """Strike when a sidecar has acted by a newer view."""
         if after == self.fault.endswith("after") and self.due():
             self.strike(home, None, None)
 
-    def strike(self, home: wires.Home, source, target) -> None:
+    def strike(self, home: wires.SidecarProcess, source, target) -> None:
         """Bring the fault about."""
         PROCESS_FAULTS[self.fault](self.day, home, source, target)
 
@@ -449,10 +449,12 @@
     day.wire.schedule(300, functools.partial(restart, day, home))
 
 
-def restart(day: Day, home: wires.Home) -> None:
+def restart(day: Day, home: wires.SidecarProcess) -> None:
     """Start an instance again at its address, unless another has it."""
-    if home.address not in day.wire.homes:
-        again = day.wire.add_home(home.name, home.address[1], offset=day.rng.choice([0, 400, -400]))
+    if home.address not in day.wire.sidecars:
+        again = day.wire.add_sidecar(
+            home.name, home.address[1], offset=day.rng.choice([0, 400, -400])
+        )
         again.served_services = home.served_services
         again.left_at = home.left_at
         day.wire.show_view(again, day.wire.views[-1])
@@ -500,14 +502,14 @@
     day.leaving.discard(home.name)
     name = f"photos-at-{home.address[1]}"
     if name not in day.labels:
-        taker = day.add_home(name, PHOTOS, home.address[1])
+        taker = day.add_sidecar(name, PHOTOS, home.address[1])
         day.wire.show_view(taker, day.wire.views[-1])
     day.wire.schedule(900, day.publish)
 
 
 def others(day: Day, home) -> list:
     """Return the addresses of the other sidecars."""
-    return [a for a in day.wire.homes if a != home.address]
+    return [a for a in day.wire.sidecars if a != home.address]
 
 
 def cut_off(day: Day, home, source, target) -> None:
@@ -531,7 +533,7 @@
 
 def cut_siblings(day: Day, home, source, target) -> None:
     """Cut the sidecars off from one another, past the handover's deadline."""
-    for one, other in itertools.permutations(list(day.wire.homes), 2):
+    for one, other in itertools.permutations(list(day.wire.sidecars), 2):
         day.wire.block(one, other, 3_200)
 
 
@@ -547,7 +549,7 @@
 
 def platform_older(day: Day, home, source, target) -> None:
     """Let the platform answer with its first revision, to everyone."""
-    for part in [*day.wire.homes.values(), *day.wire.balancers.values()]:
+    for part in [*day.wire.sidecars.values(), *day.wire.balancers.values()]:
         day.wire.show_view(part, day.wire.views[0])
 
 
@@ -607,7 +609,9 @@
     """Move one upstream to the other service while another one leaves."""
     move_service(day, home, source, target)
     rest = [
-        h for h in day.wire.homes.values() if h is not home and wires.SERVICE in h.served_services
+        h
+        for h in day.wire.sidecars.values()
+        if h is not home and wires.SERVICE in h.served_services
     ]
     if len(rest) > 1:
         leave_and_stay(day, rest[0], source, target)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -28,7 +28,9 @@
 
     def home(self):
         """Return the home of the caller's flow."""
-        held = [h for h in self.wire.homes.values() if h.core and self.caller.flow in h.core.flows]
+        held = [
+            h for h in self.wire.sidecars.values() if h.core and self.caller.flow in h.core.flows
+        ]
         return next(h for h in held if not h.core.flows[self.caller.flow].is_fenced)
 
     def ask(self, path="report", idempotent=False, caller=None):
@@ -52,8 +54,8 @@
         return found[0]
 
     def publish(self, leaving=(), to=None):
-        homes = [h for h in self.wire.homes.values() if LINE_STATUS in h.served_services]
-        others = [h for h in self.wire.homes.values() if EVIDENCE in h.served_services]
+        homes = [h for h in self.wire.sidecars.values() if LINE_STATUS in h.served_services]
+        others = [h for h in self.wire.sidecars.values() if EVIDENCE in h.served_services]
         return self.wire.publish({LINE_STATUS: homes, EVIDENCE: others}, leaving, to=to)
 
 
@@ -76,8 +78,8 @@
 
 @when("every upstream is replaced in turn")
 def replace_upstreams(state):
-    for number, home in enumerate(list(state.wire.homes.values())):
-        state.wire.add_home(f"new-{number}", 300 + number)
+    for number, home in enumerate(list(state.wire.sidecars.values())):
+        state.wire.add_sidecar(f"new-{number}", 300 + number)
         state.publish(leaving={home.name})
         state.wire.run(3_000)
         state.wire.kill(home)
@@ -101,7 +103,7 @@
 def reuse_address(state):
     home = state.home()
     state.wire.kill(home)
-    new_home = state.wire.add_home("evidence-0", home.address[1], EVIDENCE)
+    new_home = state.wire.add_sidecar("evidence-0", home.address[1], EVIDENCE)
     # Balancers keep their old view and go on sending to that address.
     state.publish(to=[new_home])
 
@@ -118,7 +120,7 @@
     assert state.wire.all_runs[state.request] <= 1
     assert all(
         state.request not in h.runs
-        for h in state.wire.homes.values()
+        for h in state.wire.sidecars.values()
         if EVIDENCE in h.served_services
     )
 
@@ -225,7 +227,7 @@
     state.leaving_home = state.home()
     state.leaving_home.left_at = state.wire.now
     outdated = next(iter(state.wire.balancers.values()))
-    parts = [*state.wire.homes.values(), *state.wire.balancers.values()]
+    parts = [*state.wire.sidecars.values(), *state.wire.balancers.values()]
     state.publish(leaving={state.leaving_home.name}, to=[p for p in parts if p is not outdated])
 
 
@@ -267,11 +269,11 @@
 
 @when("the platform answers with an older revision")
 def answer_older_revision(state):
-    for part in [*state.wire.balancers.values(), *state.wire.homes.values()]:
+    for part in [*state.wire.balancers.values(), *state.wire.sidecars.values()]:
         state.wire.show_view(part, state.older)
 
 
 @then("the newer configuration stays in force everywhere")
 def check_newer_in_force(state):
     assert all(b.view is state.newer for b in state.wire.balancers.values())
-    assert all(h.core.view is state.newer for h in state.wire.homes.values())
+    assert all(h.core.view is state.newer for h in state.wire.sidecars.values())
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -17,7 +17,7 @@
 def home_of(wire, caller):
     """Return the home that the caller's token names."""
     key = view.unpack_token(caller.token).upstream
-    return next(h for h in wire.homes.values() if view.key_of(h.name) == key)
+    return next(h for h in wire.sidecars.values() if view.key_of(h.name) == key)
 
 
 def opened_twice(wire):
@@ -32,7 +32,7 @@
     wire.message_delays = message_delays
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
-    return caller, home_of(wire, caller), wire.homes[late[0]]
+    return caller, home_of(wire, caller), wire.sidecars[late[0]]
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -45,7 +45,7 @@
     caller, home, idle = opened_twice(wire)
     request = caller.request("slow/1500", b"report", wire.now + 8_000, False, wire.now)
     wire.run(100)
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={idle.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={idle.name})
     run_until(wire, lambda: caller.outcomes)
     wire.run(10_000)
     assert caller.outcomes[0].outcome is progress.Outcome.ANSWERED
@@ -63,7 +63,7 @@
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
     old = home_of(wire, caller)
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={old.name})
     run_until(wire, lambda: home_of(wire, caller) is not old)
     wire.run(6_000)
     assert caller.flow in home_of(wire, caller).core.flows
@@ -82,7 +82,7 @@
     caller = wire.add_caller()
     run_until(wire, lambda: caller.token)
     old = home_of(wire, caller)
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={old.name})
     wire.run(6_000)
     assert home_of(wire, caller) is not old
     assert caller.flow in home_of(wire, caller).core.flows
@@ -101,7 +101,7 @@
     wire.message_delays = lambda _s, _t, kind: (
         [] if kind == "TransferReply" and wire.traces_of("adopted") else [1]
     )
-    homes = list(wire.homes.values())
+    homes = list(wire.sidecars.values())
     wire.publish({wires.SERVICE: homes}, leaving={old.name})
     run_until(wire, lambda: wire.traces_of("adopted"))
     target = next(h for h in homes if h.name == wire.traces_of("adopted")[0])
@@ -130,7 +130,7 @@
     wire.message_delays = lambda _s, _t, kind: (
         [] if kind == "TransferReply" and wire.traces_of("adopted") else [1]
     )
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={old.name})
     run_until(wire, lambda: wire.traces_of("adopted"))
     wire.run(4_000)
     wire.message_delays = lambda *_: [1]
@@ -159,7 +159,7 @@
 def home_with_flow():
     """Return the core of a flow's home, with incarnation 7."""
     wire = wires.make_service(count=3)
-    core = next(iter(wire.homes.values())).core
+    core = next(iter(wire.sidecars.values())).core
     token = view.Token(core.key, 7, view.key_of(wires.SERVICE)).pack()
     flow = flows.Flow(FLOW, wires.SERVICE, token, ("10.0.0.3", 1), ("", 1), wire.now + 9_000, (7,))
     core.flows[FLOW] = flow
@@ -213,7 +213,7 @@
     request = caller.request("answers/3000000", b"", wire.now + 30_000, True, wire.now)
     run_until(wire, lambda: wire.traces_of("answered"))
     old = home_of(wire, caller)
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={old.name})
     run_until(wire, lambda: caller.outcomes)
     assert len(caller.outcomes[0].body) == 3_000_000
     assert caller.outcomes[0].request == request
--- a/tests/test_matrix_sequences.py
+++ b/tests/test_matrix_sequences.py
@@ -44,7 +44,7 @@
         return [wires.HOP_MS]
 
     def home(self, number):
-        homes = list(self.wire.homes.values()) or self.day.started
+        homes = list(self.wire.sidecars.values()) or self.day.started
         return homes[number % len(homes)]
 
     def caller(self, number):
@@ -91,7 +91,7 @@
 
     @stateful.rule(number=HOMES, fault=st.sampled_from(sorted(matrix.PROCESS_FAULTS)))
     def befall(self, number, fault):
-        if "for good" in fault and len(self.wire.homes) < 4:
+        if "for good" in fault and len(self.wire.sidecars) < 4:
             return
         matrix.PROCESS_FAULTS[fault](self.day, self.home(number), None, None)
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -102,10 +102,10 @@
     wire = wires.make_service(count=3)
     caller = wire.add_caller()
     feed = caller.subscribe("spans", 900, wire.now)
-    homes = list(wire.homes.values())
+    homes = list(wire.sidecars.values())
     reports = []
     for number in range(3):
-        homes.append(wire.add_home(f"new-{number}", 300 + number))
+        homes.append(wire.add_sidecar(f"new-{number}", 300 + number))
         leaver = homes[0]
         wire.publish({wires.SERVICE: homes}, leaving={leaver.name})
         reports.append(caller.request("reports", b"r", wire.now + 20_000, False, wire.now))
@@ -134,7 +134,7 @@
     wire.run(100)
     request = caller.request("reports", b"r", wire.now + 20_000, False, wire.now)
     wire.run(100)
-    home = next(h for h in wire.homes.values() if h.runs)
+    home = next(h for h in wire.sidecars.values() if h.runs)
     wire.post(home, events.Leave("SIGTERM"))
     result = outcome_of(wire, caller, request)
     assert result.outcome is progress.Outcome.ANSWERED
@@ -175,7 +175,7 @@
     caller.close()
     wire.run(3_000)
     assert caller.is_done
-    assert not any(home.core.flows for home in wire.homes.values())
+    assert not any(home.core.flows for home in wire.sidecars.values())
     count = len(seen)
     wire.run(5_000)
     assert len(seen) == count
@@ -188,4 +188,4 @@
     caller = wire.add_caller()
     caller.close()
     wire.run(3_000)
-    assert not any(home.core.flows for home in wire.homes.values())
+    assert not any(home.core.flows for home in wire.sidecars.values())
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -27,8 +27,8 @@
 
     def __init__(self, **limits):
         self.wire = wires.make_service(count=3, balancers=2, **limits)
-        self.homes = list(self.wire.homes.values())
-        self.core = self.homes[0].core
+        self.sidecars = list(self.wire.sidecars.values())
+        self.core = self.sidecars[0].core
         self.last_effects = []
         self.post(events.ViewChanged(self.core.view), NOW)
 
@@ -208,7 +208,7 @@
 def test_unassigned_service_gets_no_new_work():
     harness = SidecarHarness()
     token = harness.open()
-    harness.wire.publish({wires.SERVICE: harness.homes[1:], "photos": harness.homes[:1]})
+    harness.wire.publish({wires.SERVICE: harness.sidecars[1:], "photos": harness.sidecars[:1]})
     assert harness.core.served_services == {"photos"}
     harness.core.flows[FLOW].handover = None
     assert message_names(harness.send_request(token, b"r", NOW + 9_000, NOW + 20)) == ["NotRun"]
@@ -233,7 +233,7 @@
 def test_older_views_are_ignored():
     harness = SidecarHarness()
     older = harness.core.view
-    newer = harness.wire.publish({wires.SERVICE: harness.homes[:1]})
+    newer = harness.wire.publish({wires.SERVICE: harness.sidecars[:1]})
     harness.post(events.ViewChanged(older), NOW)
     assert harness.core.view is newer
     entry = next(iter(harness.wire.balancers.values()))
@@ -371,12 +371,12 @@
     wire = wires.make_service(count=2)
     caller = wire.add_caller()
     wire.run(100)
-    old = next(h for h in wire.homes.values() if caller.flow in h.core.flows)
-    target = next(h for h in wire.homes.values() if h is not old)
+    old = next(h for h in wire.sidecars.values() if caller.flow in h.core.flows)
+    target = next(h for h in wire.sidecars.values() if h is not old)
     wire.message_delays = lambda s, t, k: (
         [] if k == "TransferReply" and wire.traces_of("adopted") else [1]
     )
-    wire.publish({wires.SERVICE: list(wire.homes.values())}, leaving={old.name})
+    wire.publish({wires.SERVICE: list(wire.sidecars.values())}, leaving={old.name})
     wire.run(2_000, lambda: wire.traces_of("adopted"))
     # The caller has no new token yet: its packets reach the target through other sidecars.
     request = caller.request("report", b"r", wire.now + 9_000, False, wire.now)
@@ -386,7 +386,7 @@
     wire.run(60)
     ran = wire.all_runs[request]
     wire.kill(target)
-    again = wire.add_home(target.name, target.address[1])
+    again = wire.add_sidecar(target.name, target.address[1])
     wire.show_view(again, wire.views[-1])
     wire.message_delays = lambda *_: [1]
     wire.run(12_000)
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -31,8 +31,8 @@
 
 def holders(wire, callers):
     """Return how many of the callers' flows each upstream holds."""
-    held = dict.fromkeys((h.name for h in wire.homes.values()), 0)
-    for home in wire.homes.values():
+    held = dict.fromkeys((h.name for h in wire.sidecars.values()), 0)
+    for home in wire.sidecars.values():
         held[home.name] = sum(1 for c in callers if c.flow in home.core.flows)
     return held
 
@@ -40,7 +40,7 @@
 def test_opens_are_passed_on_from_a_busy_upstream():
     """Callers must not wait in the queue of a busy upstream while others are idle."""
     wire = wires.make_service(slots=8)
-    home = next(iter(wire.homes.values()))
+    home = next(iter(wire.sidecars.values()))
     busy(wire, home)
     callers = open_flows(wire, 20)
     assert holders(wire, callers)[home.name] == 0
@@ -50,11 +50,11 @@
 def test_open_is_passed_a_limited_number_of_times_and_never_back(passes, expected):
     """An open must not loop between sidecars whose reports say that all others are idle."""
     wire = wires.make_service(count=5, slots=8)
-    busy(wire, *wire.homes.values())
+    busy(wire, *wire.sidecars.values())
     wire.message_delays = lambda source, target, kind: [] if kind == "LoadReport" else [1]
-    for home in wire.homes.values():
+    for home in wire.sidecars.values():
         home.core.balance.policy = balance.Policy(max_passes=passes)
-        for other in wire.homes.values():
+        for other in wire.sidecars.values():
             idle = messages.LoadReport(other.name, 1, wires.ZONE, wire.now, 8, 9)
             home.core.balance.table.record_report(idle, wire.now)
     callers = [wire.add_caller() for _ in range(6)]
@@ -68,9 +68,9 @@
 def test_leaving_upstream_gets_no_new_flow_from_stale_balancers():
     """A leaving upstream must get no flows although the view still shows it as accepting."""
     wire = wires.make_service(slots=8)
-    leaver = next(iter(wire.homes.values()))
+    leaver = next(iter(wire.sidecars.values()))
     wire.post(leaver, events.Leave("test"))
-    busy(wire, *(h for h in wire.homes.values() if h is not leaver))
+    busy(wire, *(h for h in wire.sidecars.values() if h is not leaver))
     callers = open_flows(wire, 20)
     assert holders(wire, callers)[leaver.name] == 0
 
@@ -94,7 +94,7 @@
     It is suspected after three failures, and returns with a ramp after successful health checks.
     """
     wire = wires.make_service()
-    bad = next(iter(wire.homes.values()))
+    bad = next(iter(wire.sidecars.values()))
     fail_runs(wire, bad)
     for _ in range(12):
         caller = wire.add_caller()
@@ -112,7 +112,7 @@
 def test_all_upstreams_suspected_still_serve():
     """A passing failure of a shared dependency must not become an outage: opens find a home."""
     wire = wires.make_service()
-    for home in wire.homes.values():
+    for home in wire.sidecars.values():
         for _ in range(3):
             wire.post(home, events.UpstreamHealth(False))
     wire.run(2 * SECOND)
@@ -149,7 +149,7 @@
 def test_unresponsive_sibling_is_shown_as_suspected():
     wire = wires.make_service()
     wire.run(2 * SECOND)
-    observer, unresponsive, _ = wire.homes.values()
+    observer, unresponsive, _ = wire.sidecars.values()
     assert siblings.suspected(observer.core, wire.now) == ()
     wire.kill(unresponsive)
     wire.run(5 * SECOND)
@@ -200,9 +200,9 @@
     """
     wire = wires.make_service(7, seed=seed, slots=8)
     callers = open_flows(wire, 42)
-    homes = list(wire.homes.values())
+    homes = list(wire.sidecars.values())
     for number, old in enumerate(list(homes)):
-        homes.append(wire.add_home(f"new-{number}", 300 + number))
+        homes.append(wire.add_sidecar(f"new-{number}", 300 + number))
         wire.publish({wires.SERVICE: homes})
         wire.run(32 * SECOND)
         wire.publish({wires.SERVICE: homes}, leaving={old.name})
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass
-class Home:
+class SidecarProcess:
     """A sidecar's process with its upstream; `runs` counts the runs by request id.
 
     While the process is paused, `inbox` holds the events that arrive and `held_effects` the
@@ -62,9 +62,9 @@
 
     `message_delays(source, target, kind)` returns the delays (ms) at which copies of a message
     arrive, none if it is lost; `run_delays` does so for requests to an upstream. `on_step(step,
-    home, after)` is called for each traced event of a sidecar, before and after its effects are
-    performed, and may pause or kill the process. `on_decision(home, event)` is called after each
-    decision. `Home.clock_offset` and `caller_clock_offsets` shift the clocks of processes (ms).
+    process, after)` is called for each traced event of a sidecar, before and after its effects are
+    performed, and may pause or kill the process. `on_decision(process, event)` is called after each
+    decision. `SidecarProcess.clock_offset` and `caller_clock_offsets` shift clocks (ms).
     """
 
     def __init__(self, seed: int = 1, limits: sidecar_state.Limits | None = None):
@@ -73,14 +73,14 @@
         self.limits = limits or sidecar_state.Limits()
         self.queue: list = []
         self.count = 0
-        self.homes: dict[view.Address, Home] = {}
+        self.sidecars: dict[view.Address, SidecarProcess] = {}
         self.balancers: dict[view.Address, balancer.Balancer] = {}
         self.callers: dict[view.Address, call.Call] = {}
         self.traces: list[tuple[int, str, effects.Trace]] = []
         self.dropped: collections.Counter = collections.Counter()
         self.run_ms = RUN_MS
         self.message_delays: typing.Callable[..., list[int]] = lambda *_: [HOP_MS]
-        self.run_delays: typing.Callable[[Home], list[int]] = lambda _: [HOP_MS]
+        self.run_delays: typing.Callable[[SidecarProcess], list[int]] = lambda _: [HOP_MS]
         self.revision = 0
         self.all_runs: collections.Counter = collections.Counter()
         self.runs_by_body: collections.Counter = collections.Counter()
@@ -130,8 +130,8 @@
 
     def tick(self) -> None:
         """Tick every core that is not paused."""
-        for home in list(self.homes.values()):
-            self.post(home, events.Tick())
+        for process in list(self.sidecars.values()):
+            self.post(process, events.Tick())
         for address, caller in list(self.callers.items()):
             caller.tick(self.caller_clock(address))
             self.flush(address, caller)
@@ -142,15 +142,17 @@
 
     # Parts
 
-    def add_home(self, name: str, port: int, kind: str = SERVICE, offset: int = 0) -> Home:
+    def add_sidecar(
+        self, name: str, port: int, kind: str = SERVICE, offset: int = 0
+    ) -> SidecarProcess:
         """Start a sidecar with its upstream; it replaces a process with the same address."""
         address = ("10.0.0.1", port)
         core = sidecar.make_sidecar(
             name, self.rng.getrandbits(62) + 1, self.limits, self.rng, self.now + offset
         )
-        home = Home(name, address, core, {kind}, offset)
-        self.homes[address] = home
-        return home
+        process = SidecarProcess(name, address, core, {kind}, offset)
+        self.sidecars[address] = process
+        return process
 
     def add_balancer(self, port: int) -> balancer.Balancer:
         """Start a balancer."""
@@ -168,7 +170,7 @@
 
     def publish(
         self,
-        services: dict[str, typing.Iterable[Home]],
+        services: dict[str, typing.Iterable[SidecarProcess]],
         leaving: typing.Container[str] = (),
         to: typing.Iterable | None = None,
     ) -> view.View:
@@ -177,70 +179,72 @@
         members = {
             name: [
                 view.make_endpoint(h.name, h.address, ZONE, leaving=h.name in leaving)
-                for h in homes
+                for h in processes
             ]
-            for name, homes in services.items()
+            for name, processes in services.items()
         }
         made = view.make_view(
             self.revision,
             [view.make_service(name, "10.1.0.1:443", m) for name, m in members.items()],
-            [view.make_endpoint(h.name, a, ZONE) for a, h in self.homes.items()],
+            [view.make_endpoint(h.name, a, ZONE) for a, h in self.sidecars.items()],
             balancers=self.balancers,
         )
         self.views.append(made)
-        for part in list(self.homes.values()) + list(self.balancers.values()) if to is None else to:
+        for part in (
+            list(self.sidecars.values()) + list(self.balancers.values()) if to is None else to
+        ):
             self.show_view(part, made)
         return made
 
-    def show_view(self, part: Home | balancer.Balancer, made: view.View) -> None:
+    def show_view(self, part: SidecarProcess | balancer.Balancer, made: view.View) -> None:
         """Deliver a view to one process."""
-        if isinstance(part, Home):
+        if isinstance(part, SidecarProcess):
             self.post(part, events.ViewChanged(made))
         else:
             balancer.change_view(part, made)
 
     def confirm(self) -> None:
         """Send the latest view to every process, as a renewed watch does."""
-        parts = list(self.homes.values()) + list(self.balancers.values())
+        parts = list(self.sidecars.values()) + list(self.balancers.values())
         for part in parts:
-            if not self.platform_down and not (isinstance(part, Home) and part.stale):
+            if not self.platform_down and not (isinstance(part, SidecarProcess) and part.stale):
                 deliver = functools.partial(self.show_view, part, self.views[-1])
                 self.send("platform", part.address, "View", deliver)
 
-    def kill(self, home: Home) -> None:
+    def kill(self, process: SidecarProcess) -> None:
         """Kill a sidecar's process; the runs at its upstream go on."""
-        home.core = None
-        if self.homes.get(home.address) is home:
-            del self.homes[home.address]
+        process.core = None
+        if self.sidecars.get(process.address) is process:
+            del self.sidecars[process.address]
 
-    def kill_upstream(self, home: Home, duration: int) -> None:
+    def kill_upstream(self, process: SidecarProcess, duration: int) -> None:
         """Kill an upstream with its runs, and restart it after `duration` ms."""
-        home.upstream_down_until = self.now + duration
-        for key in list(home.jobs):
-            del home.jobs[key]
-            self.post(home, events.Failed(key, "the connection broke", True))
+        process.upstream_down_until = self.now + duration
+        for key in list(process.jobs):
+            del process.jobs[key]
+            self.post(process, events.Failed(key, "the connection broke", True))
 
     def block(self, source, target, duration: int) -> None:
         """Drop every message from one process to another for `duration` ms."""
         self.blocked[(source, target)] = self.now + duration
 
-    def pause(self, home: Home, duration: int) -> None:
+    def pause(self, process: SidecarProcess, duration: int) -> None:
         """Pause a sidecar's process; events that arrive meanwhile wait in its inbox."""
-        home.paused_until = max(home.paused_until, self.now + duration)
-        self.schedule(duration, lambda: self.wake(home))
+        process.paused_until = max(process.paused_until, self.now + duration)
+        self.schedule(duration, lambda: self.wake(process))
 
-    def wake(self, home: Home) -> None:
+    def wake(self, process: SidecarProcess) -> None:
         """Resume a paused process: perform its held effects, then post the events in its inbox."""
-        if home.paused_until > self.now:
+        if process.paused_until > self.now:
             return
-        held, home.held_effects = home.held_effects, []
+        held, process.held_effects = process.held_effects, []
         for core, decided in held:
-            self.perform_all(home, core, decided)
-        waiting, home.inbox = home.inbox, []
+            self.perform_all(process, core, decided)
+        waiting, process.inbox = process.inbox, []
         for event in waiting:
             # A view sent before the wake-up confirms nothing; the daemons read it again.
             if not isinstance(event, events.ViewChanged):
-                self.post(home, event)
+                self.post(process, event)
 
     def traces_of(self, event: str) -> list[str]:
         """Return the names of the sidecars that traced an event, in order."""
@@ -272,20 +276,20 @@
             return
         action = balancer.route(part, caller, payload, self.now)
         if isinstance(action, balancer.Relay):
-            self.to_home(address, action.address, action.forward)
+            self.to_sidecar(address, action.address, action.forward)
         elif isinstance(action, balancer.Reply):
             self.to_caller(address, action.caller, action.payload)
         else:
             self.dropped[action.reason] += 1
 
-    def to_home(self, source, target: view.Address, forward: messages.Forward) -> None:
+    def to_sidecar(self, source, target: view.Address, forward: messages.Forward) -> None:
         """Send a forwarded datagram to the process that has the address on arrival."""
         kind = type(caller_messages.FROM_CALLER.decode(forward.payload)).__name__
 
         def deliver():
-            home = self.homes.get(target)
-            if home is not None:
-                self.post(home, events.Arrived(forward))
+            process = self.sidecars.get(target)
+            if process is not None:
+                self.post(process, events.Arrived(forward))
 
         self.send(source, target, kind, deliver)
 
@@ -293,9 +297,9 @@
         """Send a load report to the process that has the address on arrival."""
 
         def deliver():
-            home = self.homes.get(target)
-            if home is not None:
-                self.post(home, events.LoadReported(report))
+            process = self.sidecars.get(target)
+            if process is not None:
+                self.post(process, events.LoadReported(report))
 
         self.send(source, target, "LoadReport", deliver)
 
@@ -311,59 +315,61 @@
 
         self.send(source, target, type(message).__name__, deliver)
 
-    def post(self, home: Home, event) -> None:
+    def post(self, process: SidecarProcess, event) -> None:
         """Post an event to a sidecar's core and perform the effects."""
-        if home.core is None:
+        if process.core is None:
             return
-        if home.paused_until > self.now:
+        if process.paused_until > self.now:
             if not isinstance(event, events.Tick):
-                home.inbox.append(event)
+                process.inbox.append(event)
             return
-        core = home.core
-        decided = sidecar.decide(core, event, self.now + home.clock_offset)
-        self.on_decision(home, event)
+        core = process.core
+        decided = sidecar.decide(core, event, self.now + process.clock_offset)
+        self.on_decision(process, event)
         steps = [e.event for e in decided if isinstance(e, effects.Trace)]
         for step in steps:
-            self.on_step(step, home, False)
-        self.perform_all(home, core, decided)
+            self.on_step(step, process, False)
+        self.perform_all(process, core, decided)
         for step in steps:
-            self.on_step(step, home, True)
+            self.on_step(step, process, True)
 
-    def perform_all(self, home: Home, core: sidecar_state.SidecarState, decided: list) -> None:
+    def perform_all(
+        self, process: SidecarProcess, core: sidecar_state.SidecarState, decided: list
+    ) -> None:
         """Perform effects if the process still runs; hold them while it is paused."""
-        if home.core is not core:
+        if process.core is not core:
             return
-        if home.paused_until > self.now:
-            home.held_effects.append((core, decided))
+        if process.paused_until > self.now:
+            process.held_effects.append((core, decided))
             return
         for effect in decided:
-            self.perform(home, effect)
+            self.perform(process, effect)
 
-    def perform(self, home: Home, effect: effects.Effect) -> None:
+    def perform(self, process: SidecarProcess, effect: effects.Effect) -> None:
         """Perform an effect as the sidecar's daemon does."""
         if isinstance(effect, effects.ToCaller):
-            self.send_via_balancer(home, effect)
+            self.send_via_balancer(process, effect)
         elif isinstance(effect, effects.ToSidecar):
-            self.to_home(home.address, effect.address, effect.forward)
+            self.to_sidecar(process.address, effect.address, effect.forward)
         elif isinstance(effect, effects.SendLoad):
             for address in effect.addresses:
-                self.to_sibling(home.address, address, effect.report)
+                self.to_sibling(process.address, address, effect.report)
         elif isinstance(effect, effects.RunRequest):
-            self.send_to_upstream(home, effect)
+            self.send_to_upstream(process, effect)
         elif isinstance(effect, effects.CancelRequest):
-            if home.jobs.pop(effect.key, None) is not None:
-                self.post(home, events.Failed(effect.key, "cancelled", True))
+            if process.jobs.pop(effect.key, None) is not None:
+                self.post(process, events.Failed(effect.key, "cancelled", True))
         elif isinstance(effect, effects.PollFeed):
-            core = home.core
-            self.schedule(FEED_EVERY_MS, lambda: self.feed(home, core, effect))
+            core = process.core
+            self.schedule(FEED_EVERY_MS, lambda: self.feed(process, core, effect))
         elif isinstance(effect, effects.SendTransfer):
-            self.transfer(home, effect)
+            self.transfer(process, effect)
         elif isinstance(effect, effects.AnswerTransfer):
             self.replies.pop(effect.handle)(effect.reply)
         elif isinstance(effect, effects.Trace):
-            self.traces.append((self.now, home.name, effect))
+            self.traces.append((self.now, process.name, effect))
 
-    def send_via_balancer(self, home: Home, effect: effects.ToCaller) -> None:
+    def send_via_balancer(self, process: SidecarProcess, effect: effects.ToCaller) -> None:
         """Send a message for a caller through a balancer, which relays it if it still runs."""
         message = caller_messages.TO_CALLER.decode(effect.payload)
         if isinstance(message, caller_messages.NotRun):
@@ -373,47 +379,50 @@
             if effect.balancer in self.balancers:
                 self.to_caller(effect.balancer, effect.caller, effect.payload)
 
-        self.send(home.address, effect.balancer, "Return", relay)
+        self.send(process.address, effect.balancer, "Return", relay)
 
-    def send_to_upstream(self, home: Home, effect: effects.RunRequest) -> None:
+    def send_to_upstream(self, process: SidecarProcess, effect: effects.RunRequest) -> None:
         """Check the deadline as the daemon does and send the request to the upstream."""
-        core = home.core
-        if self.now + home.clock_offset >= effect.deadline:
+        core = process.core
+        if self.now + process.clock_offset >= effect.deadline:
             late = events.Failed(effect.key, "the deadline passed before it started", False)
-            self.schedule(0, lambda: self.post_to(home, core, late))
+            self.schedule(0, lambda: self.post_to(process, core, late))
             return
-        if home.left_at is not None and self.now > home.left_at + LEAVE_BOUND_MS:
-            self.misplaced_runs.append(f"{home.name} got new work after it was to leave")
-        delays = self.run_delays(home)
+        if process.left_at is not None and self.now > process.left_at + LEAVE_BOUND_MS:
+            self.misplaced_runs.append(f"{process.name} got new work after it was to leave")
+        delays = self.run_delays(process)
         if not delays:
             lost = events.Failed(effect.key, "the connection broke", True)
-            self.schedule(1_000, lambda: self.post_to(home, core, lost))
+            self.schedule(1_000, lambda: self.post_to(process, core, lost))
         for delay in delays[:1]:
-            self.schedule(delay - 1, lambda: self.start(home, core, effect))
+            self.schedule(delay - 1, lambda: self.start(process, core, effect))
 
     def start(
-        self, home: Home, core: sidecar_state.SidecarState, effect: effects.RunRequest
+        self, process: SidecarProcess, core: sidecar_state.SidecarState, effect: effects.RunRequest
     ) -> None:
         """Run a request at the upstream, which refuses one past its deadline."""
         request = effect.key[1]
-        if home.upstream_down_until > self.now or self.now + home.clock_offset >= effect.deadline:
+        if (
+            process.upstream_down_until > self.now
+            or self.now + process.clock_offset >= effect.deadline
+        ):
             refused = events.Failed(effect.key, "the upstream refuses", False)
-            self.schedule(0, lambda: self.post_to(home, core, refused))
+            self.schedule(0, lambda: self.post_to(process, core, refused))
             return
-        if effect.service not in home.served_services:
-            self.misplaced_runs.append(f"{home.name} ran a request of {effect.service}")
-        home.runs[request] += 1
+        if effect.service not in process.served_services:
+            self.misplaced_runs.append(f"{process.name} ran a request of {effect.service}")
+        process.runs[request] += 1
         self.all_runs[request] += 1
         self.runs_by_body[effect.body] += 1
-        home.run_services[request] = effect.service
-        home.jobs[effect.key] = self.count
+        process.run_services[request] = effect.service
+        process.jobs[effect.key] = self.count
         job = self.count
         body = self.answer_to(effect.path, effect.body)
 
         def done():
-            if home.jobs.get(effect.key) == job:
-                del home.jobs[effect.key]
-                self.post_to(home, core, events.Finished(effect.key, 200, body))
+            if process.jobs.get(effect.key) == job:
+                del process.jobs[effect.key]
+                self.post_to(process, core, events.Finished(effect.key, 200, body))
 
         slow = int(effect.path.split("/")[1]) if effect.path.startswith("slow/") else self.run_ms
         self.schedule(slow, done)
@@ -425,50 +434,52 @@
             return bytes(i % 251 for i in range(int(path.split("/")[1])))
         return b"done:" + body[:100]
 
-    def feed(self, home: Home, core: sidecar_state.SidecarState, effect: effects.PollFeed) -> None:
+    def feed(
+        self, process: SidecarProcess, core: sidecar_state.SidecarState, effect: effects.PollFeed
+    ) -> None:
         """Return the events of a feed to the sidecar; all upstreams have the same ones."""
         newest = (self.now - FEED_START) // FEED_EVERY_MS
         last = min(newest, effect.after + 64)
         batch = tuple((p, b"event %d" % p) for p in range(effect.after + 1, last + 1))
-        self.post_to(home, core, events.FeedBatch(effect.path, effect.after, batch))
+        self.post_to(process, core, events.FeedBatch(effect.path, effect.after, batch))
 
-    def post_to(self, home: Home, core: sidecar_state.SidecarState, event) -> None:
+    def post_to(self, process: SidecarProcess, core: sidecar_state.SidecarState, event) -> None:
         """Post an event if the sidecar has not been restarted since."""
-        if home.core is core:
-            self.post(home, event)
+        if process.core is core:
+            self.post(process, event)
 
-    def transfer(self, home: Home, effect: effects.SendTransfer) -> None:
+    def transfer(self, process: SidecarProcess, effect: effects.SendTransfer) -> None:
         """Deliver a transfer to its target and the reply back, or post a failure after a timeout.
 
         A paused target receives the transfer when it resumes, however late.
         """
-        core = home.core
+        core = process.core
         content = effect.transfer
         ended = []
 
         def arrive():
-            target = self.homes.get(effect.address)
+            target = self.sidecars.get(effect.address)
             if target is not None:
                 self.count += 1
                 self.replies[self.count] = answer
                 self.post(target, events.TransferArrived(self.count, content))
 
         def answer(reply):
-            self.send(effect.address, home.address, "TransferReply", lambda: back(reply))
+            self.send(effect.address, process.address, "TransferReply", lambda: back(reply))
 
         def back(reply):
             if not ended:
                 ended.append(True)
-                self.post_to(home, core, events.TransferAnswered(content.flow, reply))
+                self.post_to(process, core, events.TransferAnswered(content.flow, reply))
 
         def give_up():
             if not ended:
                 ended.append(True)
                 failed = events.TransferFailed(content.flow, content.id, "no answer in time")
-                self.post_to(home, core, failed)
+                self.post_to(process, core, failed)
 
         if len(transfer.TRANSFERS.encode(content)) <= bulk.MAX_MESSAGE_BYTES:
-            self.send(home.address, effect.address, "Transfer", arrive)
+            self.send(process.address, effect.address, "Transfer", arrive)
         self.schedule(TRANSFER_WAIT_MS, give_up)
 
 
@@ -477,6 +488,6 @@
     wire = Wire(seed, sidecar_state.Limits(**limits))
     for number in range(balancers):
         wire.add_balancer(100 + number)
-    homes = [wire.add_home(f"ledger-{number}", 200 + number) for number in range(count)]
-    wire.publish({SERVICE: homes})
+    processes = [wire.add_sidecar(f"ledger-{number}", 200 + number) for number in range(count)]
+    wire.publish({SERVICE: processes})
     return wire
