--- a/src/ebonystile/carrier/calls.py
+++ b/src/ebonystile/carrier/calls.py
@@ -151,7 +151,7 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def finish_call(self) -> None:
-        """Pass the complete answer to the caller's callback."""
+        """Pass the complete answer to the callback of the call."""
         done, self.pending = self.pending, None
         status, body = self.parser.get_status_code(), bytes(self.body)
         if not self.keep_alive:
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -11,12 +11,12 @@
 from ebonystile.platform import entries, node, store
 
 CATCH_UP_DELAY_MS = 300
-"""Time that the watch has to deliver a version that a peer has shown, in ms, before all is read
-again. Usually it is already on its way."""
+"""How long to wait for the watch to deliver a newer version that a peer has, in ms, before all
+lists are read again."""
 
 
 class StoreFeed:
-    """Makes the calls that the reader asks for and applies the answers to `current` and `fleet`."""
+    """Makes the calls of the reader and applies the answers to `route_table` and `fleet`."""
 
     def __init__(
         self,
@@ -123,7 +123,8 @@
     def add_announced(self, address: view.Address) -> None:
         """Add a sidecar as a source, and read from it at once if there is no view yet.
 
-        A process that starts during an outage of the store has no other source than its seeds.
+        A process that starts during an outage of the store can read only from its seeds and from
+        announced relays.
         """
         self.sources.add_announced(address)
         if not self.reader.complete and self.call is None:
--- a/src/ebonystile/carrier/pages.py
+++ b/src/ebonystile/carrier/pages.py
@@ -27,7 +27,7 @@
 
 
 class Connection:
-    """One client connection; its requests are passed on in their order."""
+    """One client connection; its requests are handled in order."""
 
     def __init__(self, server: "Server", accepted: socket.socket):
         self.server = server
--- a/src/ebonystile/carrier/sidecar.py
+++ b/src/ebonystile/carrier/sidecar.py
@@ -41,13 +41,13 @@
         """Register the metrics of a sidecar and its upstream."""
         table = self.core.table
         self.report.latency(report.ANSWERS)
-        registry.gauge("flows", "Flows known.", lambda: len(table.flows))
+        registry.gauge("flows", "Flows in the flow table.", lambda: len(table.flows))
         registry.gauge(
-            "running", "Requests that run.", lambda: table.running_requests(self.loop.now)
+            "running", "Running requests.", lambda: table.running_requests(self.loop.now)
         )
         registry.gauge(
             "good",
-            "Share of requests answered of late.",
+            "Share of recent requests that succeeded.",
             lambda: table.request_stats.success_rate(self.loop.now),
         )
 
--- a/src/ebonystile/core/carrying/announcing.py
+++ b/src/ebonystile/core/carrying/announcing.py
@@ -2,7 +2,7 @@
 
 A running upstream has no entry in the store after an outage of the store that was longer than the
 lease of its entry, or while it can't reach the store. A balancer that starts then would not find
-its flows, and one that starts during an outage would know no sidecar. So sidecars announce
+its flows, and one that starts during an outage would have no sidecar to query. So sidecars announce
 themselves to the seeds (a few balancers whose addresses are in the settings of all processes) and
 to the witnesses (a few sidecars that all processes select alike from the list of upstreams), and
 balancers ask seeds and witnesses.
--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -1,7 +1,7 @@
 """Handle the packets and messages that a balancer of carried flows receives.
 
 A packet of a flow whose home is known is forwarded to it. Any other packet starts a search, which
-`is_opening` or `finding` decides.
+the module `opening` (a new flow) or `finding` (an open one) decides.
 """
 
 import functools
@@ -33,11 +33,11 @@
 the same time; the limit leaves capacity for new flows."""
 
 SIDECAR_ROTATION_MS = 200
-"""How long an unreachable balancer queries one sidecar before it tries the next, in ms."""
+"""How long a balancer that is cut off queries one sidecar before it tries the next, in ms."""
 
 EXPIRY_INTERVAL_MS = 1_000
-"""Interval at which idle flows expire, in ms: the sweep visits all flows, which is too much for
-every tick."""
+"""Interval at which idle flows are dropped, in ms: each time all flows are checked, which is too
+much work for every tick."""
 
 NO_FLOW = bytes(12)
 """A flow that does not exist, for queries that only test whether a sidecar answers."""
@@ -193,7 +193,7 @@
         return self.confirmation.due_questions(announcing.witnesses_of(self.fleet), now)
 
     def on_tick(self, now: int) -> list[effects.Effect]:
-        """Drop expired state; while unreachable, query one sidecar to notice the end of that."""
+        """Drop expired state; while cut off, query one sidecar to detect when that ends."""
         self.fleet.expire(now)
         self.unresponsive_until = {
             a: until for a, until in self.unresponsive_until.items() if until > now
@@ -244,10 +244,10 @@
             self.unresponsive_since.setdefault(upstream.address, now)
 
     def end_failed_search(self, search: flow_search.Search, now: int) -> list[effects.Effect]:
-        """End a failed search: reset the flow if it has certainly ended, else drop its packets.
+        """End a failed search: reset the flow if certainly no upstream holds or accepts it.
 
-        A search for an open flow is repeated if the result is uncertain although all sidecars
-        with an entry answered.
+        Otherwise its packets are dropped. A search for an open flow is repeated once the view is
+        confirmed, or if the result is uncertain although all sidecars with an entry answered.
         """
         self.end_search(search)
         last = search.packets[-1]
@@ -329,16 +329,16 @@
 def _(message: messages.AnswerMany, balancer, received, source, now):
     todo = effects.make_reread(message.version, balancer.route_table.routes.version)
     answers = {
-        holding: messages.Answer(NO_FLOW, message.version, holding, message.load, message.revision)
-        for holding in messages.FlowStatus
+        status: messages.Answer(NO_FLOW, message.version, status, message.load, message.revision)
+        for status in messages.FlowStatus
     }
     flows = balancer.ask_batch.flows_of(message.number)
-    for flow, holding in zip(flows, message.flow_statuses, strict=False):
+    for flow, status in zip(flows, message.flow_statuses, strict=False):
         search = balancer.searches.get(flow)
         if search is None or source not in search.asked:
             continue
-        search.record_answer(search.asked[source], answers[holding])
-        if search.is_decisive(answers[holding]) or search.is_settled():
+        search.record_answer(search.asked[source], answers[status])
+        if search.is_decisive(answers[status]) or search.is_settled():
             todo.extend(balancer.advance_search(search, now))
     return todo
 
--- a/src/ebonystile/core/carrying/balancer_state.py
+++ b/src/ebonystile/core/carrying/balancer_state.py
@@ -1,7 +1,7 @@
 """Hold the state of one balancer's carried flows and the operations shared by its modules.
 
-The other modules, such as `is_opening` and `open_flow_searches`, read and change this state;
-callers use `balancer.Balancer`. The state is soft: `homes` caches the sidecars' answers, and a
+The other modules, such as `opening` and `finding`, read and change this state; the balancer process
+uses `balancer.Balancer`. The state is soft: `homes` caches the sidecars' answers, and a
 packet of a flow that is not in the cache starts a search.
 """
 
@@ -141,7 +141,7 @@
         )
 
     def add_pending(self, received: packet.Packet) -> None:
-        """Keep a packet of a flow that was not found until the view is confirmed."""
+        """Keep a packet of a flow not found, to search again once the view is confirmed."""
         if len(self.pending) >= MAX_PENDING:
             del self.pending[next(iter(self.pending))]
         self.pending[received.flow] = received
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -126,12 +126,13 @@
 def is_confirmed_gone(
     state: balancer_state.BalancerState, search: flow_search.Search, now: int
 ) -> bool:
-    """Return whether a flow that was not found has ended.
+    """Return whether a flow that was not found has certainly ended.
 
-    One search is enough if the upstream of the former home has no entry, or if every sidecar has
-    answered and none has read a newer revision of the store. Otherwise a second search
-    `RETRY_SEARCH_MS` later must also fail: an upstream that holds the flow and left the first probe
-    unanswered acknowledges the second.
+    It has if its former home has no entry. Otherwise it may still be open while a sidecar has read
+    a newer revision of the store than this balancer, whose view may then lack the home. If none
+    has, one search is enough if every query and probe was answered; else a second search, at least
+    `RETRY_SEARCH_MS` later, must also fail: an upstream that holds the flow and left the first
+    probe unanswered acknowledges the second.
     """
     if search.previous_home is not None and not state.fleet.is_listed(
         search.previous_home.upstream
--- a/src/ebonystile/core/carrying/flow_search.py
+++ b/src/ebonystile/core/carrying/flow_search.py
@@ -25,18 +25,18 @@
 """How long a sidecar that did not answer is not asked to take new flows, in ms."""
 
 MAX_BLIND_PROBES = 2
-"""Upstreams probed for one flow while an asked sidecar has not answered."""
+"""Limit of upstreams probed for one flow while a sidecar that was asked has not answered."""
 
 MAX_EARLY_PROBES = 22
-"""Upstreams probed for one flow before the view is confirmed: more than are asked to take a new
-flow."""
+"""Limit of upstreams probed for one flow before the view is confirmed: more than are asked to take
+a new flow."""
 
 MAX_HELD_PACKETS = 16
 """Packets held during a search: a sender has no more in flight."""
 
 FIRST_ROUND_SIZE = 11
-"""Sidecars in the first round for an open flow, in the order used for a new flow: eight of the own
-zone and three of others. A service has about 5 upstreams at the target size."""
+"""Sidecars in the first round for an open flow, in the order used for a new flow: eight of the
+same zone and three of others. A service usually has fewer upstreams."""
 
 LATER_ROUND_SIZE = 256
 """Sidecars in each later round: within the burst of the budget `fan_out_budget`."""
@@ -49,10 +49,10 @@
     `service` is that of a flow to be opened, empty for one that is already open. `due` is the time
     of the next step, `deadline` that of the end, `asked_at` that of the last round or probe.
     `make_later_rounds` computes the rounds that follow `rounds`, when they are needed. `probed`
-    holds the addresses that were sent a probe, `excluded` those that returned a packet. `revision`
-    is the newest revision of the store in the answers. `attempt` counts the consecutive searches
-    for an open flow, including this one. `is_deferred` is set while a new flow waits because all
-    upstreams are overloaded.
+    holds the addresses that were sent a probe, `excluded` those that answered a probe with ABSENT
+    or returned a packet. `revision` is the newest revision of the store in the answers. `attempt`
+    counts the consecutive searches for an open flow, including this one. `is_deferred` is set while
+    a new flow waits because all upstreams are overloaded.
     """
 
     flow: packet.Flow
@@ -102,7 +102,7 @@
         return upstreams
 
     def record_answer(self, upstream: fleet.Upstream, answer: messages.Answer) -> bool:
-        """Record an answer; return False if none was expected from that sidecar."""
+        """Record an answer; return False if its sidecar was not asked and no probe was sent."""
         if upstream.address not in self.asked and not self.probed:
             return False
         self.answers[upstream.address] = (upstream, answer)
@@ -114,7 +114,7 @@
         return answer.flow_status >= messages.FlowStatus.OFFERED
 
     def exclude(self, address: view.Address) -> None:
-        """Exclude an upstream that returned a packet of the flow."""
+        """Exclude an upstream that does not hold the flow, or did not accept it."""
         self.excluded.add(address)
         self.asked.pop(address, None)
         self.answers.pop(address, None)
@@ -133,7 +133,7 @@
         return [self.answers[address] for address in self.asked if address in self.answers]
 
     def uncertain_upstreams(self) -> list[fleet.Upstream]:
-        """Return the upstreams whose sidecars can't tell whether they hold the flow."""
+        """Return the upstreams whose sidecars answered UNKNOWN and that were not probed."""
         return [
             u
             for u, a in self.ordered_answers()
@@ -166,7 +166,7 @@
         return self.is_settled() or now >= self.due
 
     def trace_end(self, now: int, *, reset: bool, **more: typing.Any) -> effects.Effect:
-        """Return the log event of a failed search; `reset` says whether the caller gets a reset."""
+        """Return the log event of a failed search; `reset` is whether the caller gets a reset."""
         return effects.trace(
             "not_placed" if self.is_opening else "not_found",
             flow=packet.flow_text(self.flow),
--- a/src/ebonystile/core/carrying/messages.py
+++ b/src/ebonystile/core/carrying/messages.py
@@ -10,10 +10,11 @@
 
 
 class FlowStatus(enum.IntEnum):
-    """What a sidecar knows of a flow at its upstream.
+    """The status of a flow at an upstream, as its sidecar reports it.
 
-    OFFERED is a flow that the upstream has accepted and its caller not yet continued. UNKNOWN is
-    answered by a sidecar that started so recently that its table may lack flows of its upstream.
+    OFFERED is a flow that the upstream has accepted and whose caller has not continued it yet.
+    UNKNOWN is answered by a sidecar that started so recently that its table may lack flows of its
+    upstream.
     """
 
     ABSENT = 0
@@ -63,7 +64,7 @@
     """A sidecar's answer to `Ask`; `version` is that of the sidecar's configuration.
 
     `revision` is the store's revision up to which the sidecar has read. A balancer that has read
-    less may not know upstreams to which other balancers have already sent flows.
+    less may have no entry for upstreams to which other balancers have already sent flows.
     """
 
     flow: packet.Flow
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -126,7 +126,7 @@
     chosen: placing.Candidate,
     now: int,
 ) -> list[effects.Effect]:
-    """Reset a new flow because all upstreams are in slow start and at their limits of new flows."""
+    """Reset a new flow because the upstreams' slow starts admit no more new flows now."""
     state.end_search(search)
     return [
         search.trace_end(now, reset=True, reason="cold", **placement_inputs(chosen)),
--- a/src/ebonystile/core/carrying/packet.py
+++ b/src/ebonystile/core/carrying/packet.py
@@ -19,8 +19,9 @@
 
     `opens` marks the packet that requests a new flow, `accepts` the upstream's answer to it,
     `closes` the end of the sender's data, and `aborts` a reset. `sequence` and `acknowledged` are
-    the sender's sequence and acknowledgement numbers, `length` is its number of data bytes. A
-    `returned` packet is one that the upstream did not take.
+    the sender's sequence and acknowledgement numbers, except that `acknowledged` counts the copies
+    in an opening packet; `length` is the number of data bytes. A `returned` packet is one that the
+    upstream did not take.
     """
 
     flow: Flow
--- a/src/ebonystile/core/carrying/placing.py
+++ b/src/ebonystile/core/carrying/placing.py
@@ -66,7 +66,7 @@
 
     @property
     def unavailability(self) -> tuple[bool, bool]:
-        """Return whether the upstream is unresponsive, and whether it takes no more new flows."""
+        """Return whether it is unresponsive, and whether its slow start admits no new flow."""
         return (self.load.unresponsive, self.load.full)
 
     @property
@@ -77,9 +77,10 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Return whether the new flow should wait at the balancer instead.
+        """Return whether a new flow should wait at the balancer rather than go to this upstream.
 
-        Flows that have just opened don't suffice: a request must run on every slot.
+        It is overloaded if its slow start admits no new flow, or if a request runs on every slot
+        and its queue is long. Flows that have just opened count towards the queue only.
         """
         load = self.load
         if load.full:
@@ -180,7 +181,7 @@
 
 
 def first_round(flow: packet.Flow, local: list[fleet.Upstream]) -> list[fleet.Upstream]:
-    """Return the upstreams of the own zone that are asked first about a new flow."""
+    """Return the upstreams of the same zone that are asked first about a new flow."""
     return ranking.rank(flow, local)[:FIRST_ROUND_IN_ZONE]
 
 
--- a/src/ebonystile/core/carrying/probing.py
+++ b/src/ebonystile/core/carrying/probing.py
@@ -1,4 +1,4 @@
-"""Probe upstreams with a packet of an open flow when their sidecars can't tell who holds it."""
+"""Probe upstreams with a packet of an open flow when their sidecars answer UNKNOWN."""
 
 from ebonystile.core import view
 from ebonystile.core.carrying import (
@@ -19,7 +19,7 @@
     unknown: list[fleet.Upstream],
     now: int,
 ) -> list[effects.Effect] | None:
-    """Probe upstreams whose sidecars started too recently to know their flows.
+    """Probe upstreams whose sidecars started too recently to have complete flow tables.
 
     If every sidecar answered, the home is among the upstreams probed. If one is unresponsive, it
     may be the home, and only `MAX_BLIND_PROBES` others are probed: packets of the flow that reach
--- a/src/ebonystile/core/carrying/reading.py
+++ b/src/ebonystile/core/carrying/reading.py
@@ -20,8 +20,9 @@
 """
 
 WATCH_WAIT_MS = 5_000
-"""How long a watch waits for changes, in ms. If its answer is lost, the process learns of changes
-only after the watch and its margin, which must be sooner than a change has to be in force."""
+"""How long a watch waits for changes, in ms. If its answer is lost, the process reads later
+changes only after this wait and the margin, which together must be shorter than the time within
+which a change has to be in force."""
 
 WATCH_MARGIN_MS = 1_000
 """How much longer than its wait a watch may take, in ms."""
@@ -40,7 +41,8 @@
 
 MIN_BACKOFF_MS = 100
 MAX_BACKOFF_MS = 1_000
-"""Range of the pause after a failed call, in ms; it doubles with each further failure."""
+"""Range of the mean pause after a failed call, in ms. It doubles with each further failure; the
+pause itself is between half and one and a half times the mean."""
 
 
 class Kind(enum.Enum):
@@ -73,8 +75,8 @@
     """The state of reading the store; the process makes the calls of `next_call` one at a time.
 
     `todo` are the pages still to be read, `complete` is set once all lists have been read, and
-    `provisional` until a watch has confirmed that they are current. `recovered_at` is when the
-    store last answered again after failed calls, in ms.
+    `provisional` until a watch has confirmed that they are current. `recovered_at` is when a
+    call last succeeded after calls to the store had failed, in ms.
     """
 
     def __init__(self, randomness: rng.Rng, now: int):
@@ -154,7 +156,7 @@
         self.failing_since = None
 
     def on_history_lost(self, now: int) -> None:
-        """Record that the store has compacted our revision, and start over."""
+        """Record that the store has compacted the revision read so far, and start over."""
         self.on_answered(now)
         self.restart()
         self.next_at = now
@@ -162,7 +164,7 @@
     def on_failed(self, now: int, *, store: bool = True, at_once: bool = False) -> None:
         """Record a failed call; `at_once` skips the pause, as another source can be asked now.
 
-        `store` tells whether the store failed, and not only a relay.
+        `store` is set if the store failed, directly or behind a relay.
         """
         self.store_failed = self.store_failed or store
         if self.failing_since is None:
--- a/src/ebonystile/core/carrying/sidecar.py
+++ b/src/ebonystile/core/carrying/sidecar.py
@@ -103,9 +103,9 @@
     def is_upstream_gone(self, now: int) -> bool:
         """Return whether the upstream has ended: it has no entry and leaves probes unanswered.
 
-        This happens when an upstream leaves, its instance loses power, and only the sidecar is
-        started again. Answering UNKNOWN for it would delay the reset of every lost flow until the
-        caller's timeout.
+        This happens when an instance loses power after its upstream has left, and only the sidecar
+        is started again. Answering UNKNOWN for it would delay the reset of every lost flow until
+        the caller's timeout.
         """
         if (
             self.probed_since is None
@@ -144,8 +144,8 @@
         lost its entry while its instance was unreachable has completed its slow start, which is
         shorter than a lease.
 
-        So after a power loss of all instances every sidecar knows at once that earlier flows are
-        gone, and no upstream is probed for each of them.
+        So after a power loss of all instances, sidecars answer at once that earlier flows are
+        absent, without probing their upstreams for each of them.
         """
         if now >= listed.slow_start_until:
             return False
@@ -209,7 +209,7 @@
             return messages.Reason.LEAVING
         if listed is not None and listed.service != self.service:
             return messages.Reason.OTHER_SERVICE
-        # A balancer that is cut off from the store may not know that the zone is drained.
+        # A balancer that is cut off from the store may still send flows to a drained zone.
         if self.zone in self.fleet.drained:
             return messages.Reason.DRAINED
         return None
@@ -302,7 +302,7 @@
     def make_absent_reply(
         self, received: packet.Packet, packet_kept: bool, now: int
     ) -> messages.Message:
-        """Return the message that says that the upstream does not hold the packet's flow.
+        """Return the message to a balancer that the upstream does not hold the packet's flow.
 
         The packet is left out if the balancer has kept it. After a power loss dozens of upstreams
         are probed for each open flow, many with full-size packets.
@@ -396,7 +396,9 @@
 
 @handle_message.register
 def _(message: messages.AskMany, sidecar, received, source, now):
-    statuses = tuple(sidecar.flow_status(flow, at, now) for flow, at in message.questions)
+    statuses = tuple(
+        sidecar.flow_status(flow, acknowledged, now) for flow, acknowledged in message.questions
+    )
     version = sidecar.route_table.routes.version
     load = sidecar.load(now)
     answer = messages.AnswerMany(message.number, version, statuses, load, sidecar.revision)
--- a/src/ebonystile/core/carrying/sourcing.py
+++ b/src/ebonystile/core/carrying/sourcing.py
@@ -44,11 +44,12 @@
 class Sources:
     """The sources that one process may read from.
 
-    `own_address` is this process's address. `relays` are the watchers of all zones, best first,
-    computed from the fleet's `index`. `announced` are relays that announced themselves, and `seeds`
-    the addresses from the settings; both are used until the process has a view. `is_watcher` is set
-    if this process watches the store, `announces_relay` if it also announces itself as a relay, as
-    the first few of each zone do. `excluded_until` is until when a failed source is skipped, in ms.
+    `own_address` is this process's address. `relays` are the other watchers of this zone and one of
+    each other zone, best first, computed from the fleet's `index`. `announced` are relays that
+    announced themselves, and `seeds` the addresses from the settings; both are used until the
+    process has a view. `is_watcher` is set if this process watches the store, `announces_relay` if
+    it also announces itself as a relay, as the first few of each zone do. `excluded_until` is until
+    when a failed source is skipped, in ms.
     """
 
     own_address: view.Address
@@ -96,9 +97,9 @@
         return xxhash.xxh3_64_intdigest(f"{self.own_address}{relay}".encode())
 
     def ranked_sources(self, complete: bool) -> list[Source]:
-        """Return all sources, best first; `complete` tells whether the process has a full view.
+        """Return all sources, best first; `complete` is whether the process has a full view.
 
-        At startup the store comes first: its data is current, and no relay is known yet.
+        At startup the store comes first: its data is current, and the list of relays is empty.
         """
         if not complete:
             return [STORE, *self.relays, *self.announced, *self.seeds]
@@ -107,7 +108,7 @@
         return [*self.relays, STORE]
 
     def choose(self, complete: bool, now: int) -> Source:
-        """Return the best source that has not failed recently, else the one that failed first."""
+        """Return the best source that is not skipped, else the one to be used again soonest."""
         ranked = self.ranked_sources(complete)
         available = [source for source in ranked if self.excluded_until.get(source, 0) <= now]
         if available:
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -129,7 +129,7 @@
         self.pending: dict[packet.Flow, int] = {}
 
     def open(self, flow: packet.Flow, source: view.Address, now: int) -> FlowRecord:
-        """Record an opening packet that is sent to the upstream, and return its flow's state."""
+        """Record an opening packet that is sent to the upstream, and return its flow's record."""
         record = self.flows.get(flow)
         if record is None:
             record = self.add(flow, source, now)
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -37,7 +37,7 @@
 
 
 class LoadState:
-    """What a sidecar knows of the load of its own upstream and of its siblings."""
+    """The load of a sidecar's own upstream and of its siblings, as this sidecar sees it."""
 
     def __init__(self, policy: Policy, now: int):
         self.policy = policy
--- a/src/ebonystile/core/placing/load.py
+++ b/src/ebonystile/core/placing/load.py
@@ -72,8 +72,8 @@
 
     Between two reports all sidecars see the same least loaded sibling and could send it all opens
     (herding). Opens that this sidecar sent count as load until a later report can contain them,
-    which bounds how many it sends on the basis of one report; the minimum gap in `placement` bounds
-    how many all sidecars send together.
+    which bounds how many it sends on the basis of one report; `placement.PowerOfTwo.work_gap`
+    bounds how many all sidecars send together.
     """
 
     def __init__(self, stale_after_ms: int = 3000, limit: int = MAX_SIBLINGS):
@@ -120,7 +120,7 @@
         return make_candidate(sibling.load, len(sibling.sent_at), now - sibling.received_at)
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether the sibling's last report says that it is leaving."""
+        """Return whether the sibling's last report shows it as leaving."""
         sibling = self.siblings.get(name)
         return sibling is not None and sibling.load.leaving
 
--- a/src/ebonystile/core/placing/placement.py
+++ b/src/ebonystile/core/placing/placement.py
@@ -1,7 +1,8 @@
 """Decide whether a sidecar keeps an open or passes it to a sibling.
 
-A balancer knows no loads and sends an open to an upstream by the flow's ranking alone. The sidecar
-that receives it knows its own load exactly and that of its siblings from recent reports.
+A balancer gets no load reports and sends an open (the request for a new flow) to an upstream by the
+flow's ranking alone. The sidecar that receives it compares its own exact load with its siblings'
+recent reports.
 """
 
 import dataclasses
@@ -53,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastLoaded:
-    """Choose the least loaded of all known siblings, however small the difference."""
+    """Choose the least loaded of the own upstream and all siblings with reports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,8 +96,9 @@
     """Return the name of the sibling that the open is passed to, or None to keep it.
 
     `siblings` are the other upstreams of the service that the view shows as accepting. A sidecar
-    that is leaving or full, or whose upstream is suspected, passes the open to any sibling with
-    room, whatever the difference in load.
+    that is leaving or full, or whose upstream is suspected, passes the open to the least
+    loaded sibling with room, whatever the difference. One that is leaving passes it to a sibling
+    without a report if no other has room.
     """
     endpoints = [e for e in siblings if not table.is_leaving(e.name)]
     known = [s for e in endpoints if (s := table.candidate(e.name, now)) is not None]
--- a/src/ebonystile/core/placing/suspicion.py
+++ b/src/ebonystile/core/placing/suspicion.py
@@ -97,7 +97,7 @@
         return True
 
     def is_failing(self, peer: Peer) -> bool:
-        """Return whether the peer's results exceed the failure limits."""
+        """Return whether the peer's results reach a limit of failures."""
         if peer.consecutive_failures >= self.rules.failures:
             return True
         failures = sum(1 for success in peer.results if not success)
