--- a/src/ebonystile/core/control/assembly.py
+++ b/src/ebonystile/core/control/assembly.py
@@ -52,8 +52,8 @@
     """The value of each name, where several documents may define the same name.
 
     The document with the lowest key wins, whatever the order of arrival, so that all processes
-    agree. The others are shadowed until it drops the name, so operators can move a name from one
-    document to another without a gap.
+    agree. The values of the others are kept until it drops the name, so operators can move a name
+    from one document to another without a gap.
     """
 
     def __init__(self) -> None:
@@ -101,7 +101,7 @@
 
 
 class Assembly:
-    """The parts of the view, and the view built from them last."""
+    """The parts of the view, and the view last built from them."""
 
     def __init__(self) -> None:
         self.specs = Claims()
--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -5,8 +5,8 @@
 - platform down: the answer of one peer that has itself caught up is enough;
 - platform answers an older revision than the peers: the peers' revision is taken;
 - all peers behind the platform: the platform's revision is taken and distributed;
-- no peers: the platform's answer is enough once the peers' time to answer is over;
-- no answer at all: the process does not serve, and asks again.
+- no peer answers: the platform's answer is enough once the peers' time to answer is over;
+- neither answers: the process does not serve, and asks again.
 """
 
 from ebonystile.core.control import gossip_state, membership, probing, watching
--- a/src/ebonystile/core/control/configuration.py
+++ b/src/ebonystile/core/control/configuration.py
@@ -55,8 +55,9 @@
 class PullRequest:
     """What a configuration contains, so that an update can be limited to the rest.
 
-    `refused_keys` holds the refused keys with the revision in force for them. A newer value that
-    another process has in force may be below the digest, and would otherwise not be sent.
+    `refused_keys` holds the refused keys, each with the revision of the value in force here. A peer
+    may have a newer value in force whose revision is below this digest; without the list of keys
+    the peer would not send it.
     """
 
     digest: Digest = Digest()
@@ -155,7 +156,7 @@
 
     @property
     def current_refusals(self) -> list[Refusal]:
-        """The current refusals; one ends when a value of its revision or above is accepted."""
+        """The refusals; one is removed when a value of its revision or above is accepted."""
         return sorted(self.refusals.values())
 
     def pull_request(self) -> PullRequest:
@@ -195,8 +196,8 @@
     ) -> tuple[tuple[str, store.Entry], ...]:
         """Return the entries in force for keys that the requesting process refused.
 
-        As many as fit one update: one at a time, an entry that the requesting process refuses as
-        well would block all that follow it.
+        The update contains as many of them as fit. If it contained only the first, and the
+        requesting process refused that one too, the others would never be sent.
         """
         named = {key for key, _ in values.entries}
         entries = [
@@ -252,7 +253,7 @@
         return key in self.refusals and key not in self.values.entries
 
     def merge_values(self, delta: store.Delta, checked: store.Delta) -> list[str]:
-        """Merge the accepted entries; keys with a refusal are not deleted by their absence."""
+        """Merge the accepted entries; a key with a refusal stays even if `delta.names` lacks it."""
         deleted = self.values.deleted_by(delta, self.refusals)
         for key in deleted:
             self.values.remove(key)
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformFailed:
-    """A call of the platform failed or gave no usable answer."""
+    """A call to the platform failed or gave no usable answer."""
 
     stream: str
 
--- a/src/ebonystile/core/control/gossip_state.py
+++ b/src/ebonystile/core/control/gossip_state.py
@@ -1,7 +1,7 @@
 """The state of configuration distribution, and the operations that its modules share.
 
 The modules `watching`, `pulling`, `probing` and `catching_up` change this state and append effects;
-`state.decide` is the only entry point from outside.
+`gossip.decide` is the only entry point from outside.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 from ebonystile.peer import control
 
 MAX_SKEW_MS = 1_000
-"""Largest clock difference between instances that is allowed for, in ms.
+"""Maximum clock difference between instances that is tolerated, in ms.
 
 A confirmation time from a peer is capped at the own time plus this bound: a watcher whose clock
 runs ahead would otherwise seem to confirm the configuration long after it has died, and no other
@@ -21,7 +21,7 @@
 """
 
 PEERS_REFRESH_MS = 5_000
-"""Least time between two rebuilds of the lists of peers, in ms."""
+"""Minimum interval between two rebuilds of the lists of peers, in ms."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,22 +31,22 @@
     exchange_ms: interval of the exchange with a random peer.
     answer_timeout_ms: time after which a peer counts as not answering.
     fanout: peers to which a change is pushed.
-    push_gap_ms, list_push_gap_ms: least time between two pushes, the latter if only the list of
-    instances has changed.
+    push_gap_ms, list_push_gap_ms: minimum interval between two pushes, the latter if only the list
+    of instances has changed.
     pull_jitter_ms, pull_timeout_ms: largest delay before a pull, and its timeout.
     watch_ms, call_margin_ms: duration of one watch of the platform, and the extra time of its call.
-    call_gap_ms, instances_gap_ms: least time between two reads of the values, and of the list.
+    call_gap_ms, instances_gap_ms: minimum interval between reads of the values, and of the list.
     min_backoff_ms, max_backoff_ms: pause after a failed call, doubled with each further failure.
     stale_after_ms: age of the platform's last confirmation at which further processes watch it.
     promotion_ms: how long such a process stays a watcher.
     watchers, max_watchers: watchers per zone, normally and while the confirmation is old.
     epoch_ms: how long a choice of watchers lasts.
     solo_watch_ms: duration of a watch by a process that receives nothing from any peer.
-    solo_gap_ms, max_solo_calls_per_s: least interval of the calls of a process that is no watcher
-    while the confirmation is old, and the rate of such calls over the whole fleet.
+    solo_gap_ms, max_solo_calls_per_s: minimum interval between the calls of a process that is no
+    watcher while the confirmation is old, and the maximum rate of such calls in the whole fleet.
     catch_up_timeout_ms: timeout of one catch-up round.
-    max_pause_ms: longest gap between two events of a running process; a longer one is a pause.
-    update_bytes_per_s, update_burst_bytes: size of the updates sent, per second and at once.
+    max_pause_ms: a longer gap between two events means that the process was paused.
+    update_bytes_per_s, update_burst_bytes: limits on the updates sent, per second and in a burst.
     """
 
     exchange_ms: int = 1_000
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchPlatform:
-    """Ask the platform for the changes after a revision, waiting for some until `wait_until`."""
+    """Ask the platform for the changes after a revision; it may wait for one until `wait_until`."""
 
     stream: str
     after: int
@@ -165,11 +165,12 @@
     """The state of gossip in one process.
 
     `platform_confirmed_at` is the latest time at which the platform is known to have confirmed the
-    configuration; `own_confirmed_at` and `peers_confirmed_at` are its parts from own calls and from
-    peers' messages. `received_at` is when the last message of a peer arrived. `exchange_at`,
-    `push_at`, `pull_at` and the like are when that is due next. `peers_ahead` are the peers with
-    higher revisions; `indirect_probes` are, by the name of the probed process, the process that
-    asked for the probe and a deadline.
+    configuration; `own_confirmed_at` is the latest from this process's own calls,
+    `peers_confirmed_at` the latest from peers' messages. `received_at` is when the last message of
+    a peer arrived. `exchange_at`, `push_at`, `pull_at` and the like are when that action is due
+    next. `peers_ahead` maps the addresses of peers with higher revisions to those revisions.
+    `indirect_probes` maps the name of a process probed on behalf of another to the address of that
+    other and a deadline.
     """
 
     membership: membership.Membership
@@ -254,7 +255,7 @@
         )
 
     def note_platform_confirmed(self, as_of: int, now: int) -> None:
-        """Take over a peer's time of the platform's last confirmation, capped by `MAX_SKEW_MS`."""
+        """Record a peer's time of the platform's last confirmation, capped by `MAX_SKEW_MS`."""
         as_of = min(as_of, now + MAX_SKEW_MS)
         self.platform_confirmed_at = max(self.platform_confirmed_at, as_of)
         if as_of > self.own_confirmed_at:
@@ -280,7 +281,7 @@
         self.push_at = min(self.push_at or due, due)
 
     def note_members(self, names: typing.Iterable[str]) -> None:
-        """Update the view with what the membership knows of these processes."""
+        """Update the overrides of these processes in the view from their statements."""
         for name in names:
             self.peers_stale = True
             before = self.configuration.overrides.get(name)
--- a/src/ebonystile/core/control/membership.py
+++ b/src/ebonystile/core/control/membership.py
@@ -1,4 +1,4 @@
-"""Track the processes of the fleet: the platform's list, and what processes state of themselves.
+"""Track the processes of the fleet by the platform's list and by statements of the processes.
 
 Failure detection and refutation follow SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-
 consistent Infection-style Process Group Membership Protocol", DSN 2002): each period one random
@@ -18,10 +18,10 @@
 from ebonystile.core.control import assembly
 
 MAX_MEMBERS = 20_000
-"""Members remembered; beyond that, the one not heard from for the longest time is evicted."""
+"""Maximum number of members; beyond it, the one that sent nothing for the longest is evicted."""
 
 MAX_UPDATES = 64
-"""Membership updates queued for sending; beyond that, the oldest is dropped."""
+"""Maximum number of queued membership updates; beyond it, the oldest is dropped."""
 
 UPDATES_PER_MESSAGE = 4
 """Membership updates in one message, about 60 bytes each."""
@@ -85,7 +85,11 @@
 
 
 class Membership:
-    """The members that one process knows, and the updates that it has to send."""
+    """The members known to one process, and the updates that it has to send.
+
+    `updates` maps a name to how often its statement is still to be sent. `is_superseded` is set
+    once another process has taken this process's name.
+    """
 
     def __init__(self, own: Statement, limits: Limits, now: int):
         self.own = own
@@ -262,7 +266,7 @@
         return None if instance == listed else instance
 
     def prune(self, now: int) -> list[str]:
-        """Mark members dead or remove them once their time is over; return the names changed."""
+        """Mark suspects dead and remove other members after their `until`; return their names."""
         changed = []
         for name, member in list(self.members.items()):
             if member.until > now:
@@ -277,7 +281,7 @@
         return changed
 
     def evict_oldest(self) -> None:
-        """Remove the member not heard from for the longest time if there are too many."""
+        """Remove the member that sent nothing for the longest time if there are too many."""
         if len(self.members) >= MAX_MEMBERS:
             oldest = min(self.members, key=lambda name: self.members[name].received_at)
             del self.members[oldest]
--- a/src/ebonystile/core/control/pulling.py
+++ b/src/ebonystile/core/control/pulling.py
@@ -7,7 +7,7 @@
 from ebonystile.peer import control
 
 MAX_PEERS_AHEAD = 8
-"""Peers remembered as ahead."""
+"""Maximum number of peers recorded as ahead."""
 
 MAX_ALTERNATIVES = 4
 """Other peers named in the refusal of a pull."""
@@ -20,7 +20,7 @@
 """Estimated size (bytes) above which an answer counts as too large for a datagram."""
 
 PULL_OLDER_MS = 5_000
-"""Least time between two pulls for the older values of refused documents, in ms."""
+"""Minimum interval between two pulls for the older values of refused documents, in ms."""
 
 WEBSOCKET_TIMEOUT_FACTOR = 5
 """Timeout of a pull over a websocket, as a multiple of that of a datagram."""
@@ -29,7 +29,7 @@
 def note_peer_ahead(
     state: gossip_state.GossipState, address: view.Address, digest: configuration.Digest, now: int
 ) -> None:
-    """Remember a peer that is ahead and schedule a pull; jitter spreads the pulls of the fleet."""
+    """Record a peer that is ahead and schedule a pull; jitter spreads the pulls of the fleet."""
     if not state.configuration.digest.is_behind(digest):
         state.peers_ahead.pop(address, None)
         return
@@ -97,7 +97,7 @@
     update: configuration.Update,
     now: int,
 ) -> None:
-    """Apply an update, even a late one: joining never reverts an entry."""
+    """Apply an update, even a late one: merging never reverts an entry."""
     before = state.configuration.digest
     changes = state.configuration.apply(update)
     if changes or state.configuration.digest != before:
@@ -122,7 +122,10 @@
 
 
 def on_busy(state: gossip_state.GossipState, busy: control.Busy, now: int) -> None:
-    """Turn to the peers named by a busy one; a starting process may know only its seeds."""
+    """Drop the pull, and record the alternatives named by the busy peer as ahead as well.
+
+    A process that has just started may have no other peers than its seeds.
+    """
     if state.pull is None or state.pull.nonce != busy.nonce:
         return
     digest = state.peers_ahead.get(state.pull.address)
@@ -171,7 +174,7 @@
 def answer_datagram(
     state: gossip_state.GossipState, pull: control.Pull, now: int
 ) -> control.UpdateReply | control.TooLarge | control.Busy:
-    """Return the answer to a pull that arrived as a datagram, or a refusal if it does not fit."""
+    """Return the answer to a pull by datagram, or a refusal: too large, or over the budget."""
     update = state.configuration.update_for(control.pull_request_of(pull))
     if estimate_bytes(update) > MAX_DATAGRAM_ESTIMATE_BYTES:
         return control.TooLarge(pull.nonce)
--- a/src/ebonystile/core/control/store.py
+++ b/src/ebonystile/core/control/store.py
@@ -1,10 +1,10 @@
 """A store of versioned entries whose copies can be merged in any order without reverting.
 
 A store is a join-semilattice (Shapiro et al., "Conflict-free Replicated Data Types", 2011): each
-key keeps its entry of the highest revision, so joining is idempotent, commutative and monotonic.
+key keeps its entry of the highest revision, so merging is idempotent, commutative and monotonic.
 Deletions are kept as tombstones, so that a delta can carry them. Beyond a bound the oldest are
 dropped, and `floor` is the revision up to which that has happened. A copy behind the floor is also
-sent the names of all keys, and deletes those that are not among them.
+sent the names of all keys, and deletes its own keys up to the floor that are not among them.
 """
 
 import dataclasses
--- a/src/ebonystile/core/control/watching.py
+++ b/src/ebonystile/core/control/watching.py
@@ -2,8 +2,8 @@
 
 The watchers of a zone are chosen by rendezvous hashing of its known balancers with a slowly
 changing epoch. There is no election; where two processes disagree, both watch, which is harmless.
-Every gossip message carries the time of the platform's last confirmation. As it grows old, more
-processes become watchers, by rank and with jitter: twice as many every `stale_after_ms`, up to a
+Every gossip message carries the time of the platform's last confirmation. As it grows old, further
+balancers become watchers in the order of their ranks: twice as many every `stale_after_ms`, up to a
 bound. This replaces watchers that are dead, stalled or partitioned, without a storm of calls during
 an outage of the platform.
 """
@@ -101,7 +101,7 @@
 
 
 def solo_interval_ms(state: gossip_state.GossipState) -> int:
-    """Return the least interval of one process's calls (ms) that keeps to the fleet's rate."""
+    """Return the minimum interval between one process's calls (ms) that keeps the fleet's rate."""
     fleet = len(state.balancers) + len(state.sidecars) + 1
     return max(state.limits.solo_gap_ms, fleet * 1000 // state.limits.max_solo_calls_per_s)
 
