--- a/src/ebonystile/core/calls/call.py
+++ b/src/ebonystile/core/calls/call.py
@@ -15,7 +15,7 @@
 """Longest interval between two resends, in ms; the first is `progress.FIRST_RESEND_MS`."""
 
 SETTLE_GRACE_MS = 2_000
-"""Time after its deadline in which a request without an outcome is settled, in ms."""
+"""Time in ms after its deadline during which a request without an outcome is settled."""
 
 HEARTBEATS_PER_LEASE = 3
 """The next heartbeat is sent after the remaining lease divided by this number.
@@ -27,20 +27,23 @@
 """Shortest and longest interval between two heartbeats, in ms."""
 
 MAX_CLOSE_ATTEMPTS = 6
-"""How often `Close` is sent while unconfirmed. A home that never receives it keeps the flow until
-its lease ends, which can delay the exit of a leaving upstream."""
+"""Maximum number of times that `Close` is sent.
+
+A home that never receives it keeps the flow until its lease ends, which can delay the exit of a
+leaving upstream.
+"""
 
 HOME_TIMEOUT_MS = 6_000
-"""After this time without any message, in ms, a caller that waits reopens its flow elsewhere.
+"""Time in ms without any message after which a waiting caller reopens its flow elsewhere.
 
-A dead home stays in the balancers' list for a while, and messages sent to it get no answer.
+A dead home stays in the balancers' views for a while, and messages sent to it get no answer.
 """
 
 MAX_EARLY_EVENTS = 64
-"""Most events buffered out of order; a home sends fewer without an acknowledgement."""
+"""Maximum number of events buffered out of order; a home leaves fewer unacknowledged."""
 
 FEED_TIMEOUT_MS = 1_000
-"""After this time without an event, in ms, a feed is requested again from its position."""
+"""Time in ms without an event after which a feed is requested again from its position."""
 
 
 MESSAGES_AFTER_CLOSE = (messages.Opened, messages.Moved, messages.Closed)
@@ -162,7 +165,7 @@
             is_silent = now - subscription.received_at >= FEED_TIMEOUT_MS
             if self.token and is_silent and subscription.resend_at <= now:
                 self.send_subscribe(subscription, now)
-                # The answer tells a feed without new events from a home that is gone.
+                # The answer distinguishes a feed without new events from a home that is gone.
                 self.send(messages.Heartbeat(self.flow, self.service, self.token))
         self.check_home_timeout(now)
 
@@ -477,7 +480,7 @@
     def on_unknown_heartbeat(self, now: int) -> None:
         """Reopen a flow whose heartbeats are answered with `UnknownFlow`.
 
-        The lease ends during a long pause of the caller. Without this the next request that must
+        The lease may end during a long pause of the caller. Without this the next request that must
         not run twice would end as unknown, although it has not run.
         """
         if not self.unknown_flow.record(now):
--- a/src/ebonystile/core/calls/fairness.py
+++ b/src/ebonystile/core/calls/fairness.py
@@ -1,11 +1,11 @@
 """Limit the rate of opens at an overloaded balancer, fairly across services and callers.
 
 An overloaded balancer answers all its callers late, so it accepts only as many opens as its
-capacity allows. Each service, and each caller within it, gets a max-min fair share of the estimated
-rates, and opens beyond it are refused at random in proportion to the excess (Stoica, Shenker and
-Zhang, "Core-Stateless Fair Queueing", SIGCOMM 1998). Callers are hashed into a bounded number of
-buckets (McKenney, "Stochastic Fairness Queueing", 1990). The hash is salted anew at intervals, so
-that no caller shares a bucket with a greedy one for long.
+capacity allows. Each service, and each caller within it, gets a max-min fair share of the capacity,
+computed from estimated rates. Opens beyond the share are refused at random, in proportion to the
+excess (Stoica, Shenker and Zhang, "Core-Stateless Fair Queueing", SIGCOMM 1998). Callers are hashed
+into a bounded number of buckets (McKenney, "Stochastic Fairness Queueing", 1990). The salt of the
+hash changes at intervals, so that no caller shares a bucket with a greedy one for long.
 
 Times are in ms, rates in opens per second.
 """
@@ -18,7 +18,7 @@
 from ebonystile.core import rng
 
 MAX_SERVICES = 4096
-"""Most services with their own rate; further ones share one."""
+"""Maximum number of services with their own rate; further ones share one."""
 
 OTHER_SERVICES = "*"
 """The name under which further services are counted together."""
@@ -27,7 +27,7 @@
 """Number of caller buckets per service."""
 
 MAX_BUCKETS = 16_384
-"""Most caller buckets of all services; further callers share one bucket per service."""
+"""Maximum number of caller buckets in all services; further callers share one per service."""
 
 RESALT_INTERVAL_MS = 20_000
 """Interval at which callers are hashed into other buckets."""
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """The capacity of a balancer; `max_lag_ms` bounds how long packets wait in its inbox."""
+    """The capacity of a balancer, which is reduced while packets wait longer than `max_lag_ms`."""
 
     opens_per_second: float = 5000.0
     max_lag_ms: int = 50
--- a/src/ebonystile/core/calls/feeds.py
+++ b/src/ebonystile/core/calls/feeds.py
@@ -11,7 +11,8 @@
     feed = flow.feeds.get(message.request)
     if feed is None:
         if not state.can_start(flow.service):
-            # The flow is about to move; the caller's next `Subscribe` reaches the new home.
+            # The flow is about to move or the sidecar is catching up; the caller sends `Subscribe`
+            # again.
             return
         feed = flows.Feed(message.request, message.path, message.position, message.position)
         flow.feeds[message.request] = feed
@@ -104,9 +105,9 @@
     if over <= 0:
         return
     feeds = [feed.acknowledged for _, feed in subscribers(state, source.path)]
-    had_by_all = min(feeds, default=source.newest)
+    acknowledged_by_all = min(feeds, default=source.newest)
     ordered = sorted(source.events)
-    old = [position for position in ordered[:over] if position <= had_by_all]
+    old = [position for position in ordered[:over] if position <= acknowledged_by_all]
     for position in old + ordered[len(ordered) - (over - len(old)) :]:
         del source.events[position]
 
@@ -165,7 +166,8 @@
 
     Only one event is resent, and its acknowledgement reopens the window: resending all of them
     would keep slow callers and balancers overloaded. The balancer is changed because the flow's
-    last one may be dead, and a caller that only receives events does not reveal another.
+    last one may be dead, and the caller, which receives no events, acknowledges none through a
+    live one.
     """
     for flow in flows_with_feeds(state):
         for feed in flow.feeds.values():
--- a/src/ebonystile/core/calls/flows.py
+++ b/src/ebonystile/core/calls/flows.py
@@ -74,7 +74,7 @@
 
 
 MAX_HONOURED_INCARNATIONS = 8
-"""Most incarnations in `Flow.honoured_incarnations`; the newest are kept.
+"""Maximum length of `Flow.honoured_incarnations`; the newest are kept.
 
 Each handover adds one. A caller gets its new token within a heartbeat; one that was paused for
 more handovers than this gets `UnknownFlow` and opens a new flow.
--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -34,7 +34,7 @@
 
 
 def advance(state: sidecar_state.SidecarState, now: int) -> None:
-    """Advance every flow that must move by one step."""
+    """Take the next step of the handover of every flow that must move."""
     if not state.has_flows_to_move:
         return
     state.has_flows_to_move = False
@@ -56,7 +56,7 @@
     if any(entry.state in ledger.PENDING for entry in records):
         return
     if sum(len(entry.body) for entry in records) > state.limits.max_transfer_bytes:
-        # Too large for a transfer until callers have fetched their answers.
+        # Too large for a transfer until the caller has fetched its answers.
         extend_stay(state, flow, now)
         return
     target = next_target(state, flow, frozenset(), now)
@@ -78,7 +78,7 @@
 
 
 def extend_stay(state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
-    """Keep a flow that no sidecar accepts, with a short lease, and offer it again later.
+    """Keep a flow that cannot be transferred now, with a short lease, and retry later.
 
     If all upstreams of a service stop at once, no sidecar accepts its flows. Without the short
     lease, a flow whose caller has exited without closing it would keep this sidecar running until
@@ -228,7 +228,7 @@
 
 
 def try_next_target(state: sidecar_state.SidecarState, flow: flows.Flow, now: int) -> None:
-    """Offer the flow to the next sibling under a new transfer id, after a final refusal.
+    """Offer the flow to the next sibling under a new id, after a refusal or a failed query.
 
     If all siblings have refused, the handover ends and the flow is served here again until the
     next attempt: none of them holds the flow or may still accept this transfer. A flow that stayed
@@ -251,7 +251,7 @@
 
 
 def on_failed(state: sidecar_state.SidecarState, event: events.TransferFailed, now: int) -> None:
-    """Retry after a failed exchange: another target after a query, else the same one and id."""
+    """Retry a failed transfer with the same target and id; after a failed query, try the next."""
     flow = state.flows.get(event.flow)
     if flow is None or flow.handover is None or flow.handover.id != event.id:
         return
@@ -376,7 +376,7 @@
 
 
 def expire(state: sidecar_state.SidecarState, now: int) -> None:
-    """Forget the replies to old transfers.
+    """Drop the records of old transfers.
 
     A refused transfer is refused after its deadline anyway. An accepted one is kept for
     `transfer_memory_ms` longer: an old home that was partitioned or whose clock lags may still
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -1,7 +1,7 @@
 """Limit the concurrency and the queue of one upstream, and refuse late requests early.
 
 A request that cannot end by its deadline would waste a slot and end with an unknown outcome, so it
-is refused on arrival with the time of a retry. Times are in ms.
+is refused on arrival with a retry time. Times are in ms.
 """
 
 import bisect
@@ -15,7 +15,7 @@
 """Identifies a request; in a sidecar it is the ledger's key."""
 
 MAX_SERVICES = 64
-"""Most services with their own estimate; further ones share one."""
+"""Maximum number of services with their own estimate; further ones share one."""
 
 ESTIMATE_WEIGHT = 1 / 16
 """Weight of the newest service time in the estimate."""
--- a/src/ebonystile/core/calls/opening.py
+++ b/src/ebonystile/core/calls/opening.py
@@ -75,7 +75,7 @@
 
 
 def send_opened(state: sidecar_state.SidecarState, flow: flows.Flow, attempt: int) -> None:
-    """Send the caller its token; the answer is no larger than the open."""
+    """Send the caller its token; the answer is no larger than the open, against amplification."""
     opened = caller_messages.Opened(
         flow.id, flow.token, attempt, flow.lease_until, flow.honoured_incarnations
     )
--- a/src/ebonystile/core/calls/progress.py
+++ b/src/ebonystile/core/calls/progress.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """The outcome of a request: an answer, or the reason for none and the time of a retry."""
+    """The outcome of a request: an answer, or the reason for none and when it may be retried."""
 
     request: bytes
     outcome: Outcome
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UnknownFlowCount:
-    """The number of resends answered with `UnknownFlow`; the next counts from `next_at` (ms) on.
+    """The number of resends answered with `UnknownFlow`; answers before `next_at` are not counted.
 
     Each part of an upload is answered. If every answer counted, a single sidecar with a stale view
     could make the caller leave a live home.
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -42,7 +42,7 @@
 
     The tombstone is stored before the answer is sent. Without it a delayed copy of the request
     could run after the caller has retried elsewhere, which would be a second run. If the ledger is
-    full, the flow refuses every request without a record up to that deadline instead.
+    full, the flow instead refuses every request without a record whose deadline is not later.
     """
     if retry_at is None:
         retry_at = retry_time(state, now)
@@ -367,7 +367,7 @@
 def on_fetch(
     state: sidecar_state.SidecarState, flow: flows.Flow, message: messages.Fetch, now: int
 ) -> None:
-    """Send the requested parts of an answer, or the recorded outcome if it is another one."""
+    """Send the requested parts of an answer, or the recorded outcome if the answer id differs."""
     entry = state.ledger.get(flow.id, message.request)
     if entry is None:
         send_unknown(state, flow, message.request, "no record of it is left", now)
--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -84,14 +84,14 @@
 
 
 def suspected(state: sidecar_state.SidecarState, now: int) -> tuple[str, ...]:
-    """Return the names of the own upstream if suspected, and of unresponsive siblings."""
-    silent = [
+    """Return the names of the own upstream, if suspected, and of siblings with stale reports."""
+    unresponsive = [
         name
         for name, sibling in list(state.balance.table.siblings.items())
         if now - sibling.received_at > state.balance.table.stale_after_ms
     ]
     own = [state.name] if state.balance.suspicion.is_suspected(state.name) else []
-    return tuple(own + sorted(silent))
+    return tuple(own + sorted(unresponsive))
 
 
 def pick_sibling(
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -243,7 +243,8 @@
     elif flow.lost:
         forward_or_report(state, forward, message)
     else:
-        # The target may already be the home; the caller's next copy is routed by the result.
+        # The target may already be the home. The message is dropped, and its resend is routed by
+        # the result of the handover.
         state.trace("held", flow.id, reason="handover under way")
 
 
--- a/src/ebonystile/core/calls/sidecar_state.py
+++ b/src/ebonystile/core/calls/sidecar_state.py
@@ -1,6 +1,6 @@
 """The state of a sidecar's core, and the operations that its modules share.
 
-`opening`, `requests`, `feeds` and `handover` change this state and append effects to it;
+`opening`, `requests`, `feeds`, `siblings` and `handover` change this state and append effects;
 `sidecar.decide` is the only entry point.
 """
 
@@ -60,7 +60,7 @@
 
 
 MAX_SOURCE_EVENTS = 1024
-"""Most events of a feed kept for slow subscribers; others are polled again."""
+"""Maximum number of events of a feed kept for slow subscribers; others are polled again."""
 
 
 class SidecarState:
