--- a/standins/ends.py
+++ b/standins/ends.py
@@ -1,7 +1,7 @@
-"""Play the two ends of carried flows, callers and upstreams, as plain state machines without I/O.
+"""Callers and upstreams of carried flows as state machines without I/O.
 
-Both speak the platform's packets. A request is one packet of data and so is its answer, which is
-enough to see where packets go; streams of many packets are the ends' own business.
+Both exchange packets in the platform's format. A request is a single data packet, and so is its
+answer, which suffices to check how packets are routed.
 """
 
 import dataclasses
@@ -11,13 +11,13 @@
 from ebonystile.platform import packets
 
 FIRST_TRIES_MS = (0, 200, 600)
-"""When a caller sends an opening packet and its copies, after the first one."""
+"""When a caller sends the opening packet and its copies, from the start of the flow."""
 
 OPEN_LIMIT_MS = 1_400
-"""When a caller gives up opening a flow."""
+"""How long a caller tries to open a flow."""
 
 RESEND_MS, RESEND_MOST_MS = 200, 1_600
-"""First and longest interval between copies of a packet."""
+"""First and maximum interval between copies of a packet."""
 
 POSITIONS = 1 << 32
 
@@ -25,7 +25,7 @@
 def pack(
     origin: bytes, target: bytes, flags: int, sequence: int, acknowledged: int, data: bytes = b""
 ) -> bytes:
-    """Return a packet between two ends, each 6 bytes of address and port."""
+    """Return a packet; `origin` and `target` are 6 bytes of address and port each."""
     origin_address, origin_port = packets.ADDRESS_PORT.unpack(origin)
     target_address, target_port = packets.ADDRESS_PORT.unpack(target)
     head = packets.HEADER.pack(
@@ -44,13 +44,13 @@
 
 
 def ends(flow: packet.Flow) -> tuple[bytes, bytes]:
-    """Return the caller's and the route's end of a flow."""
+    """Return the caller's and the route's endpoint of a flow."""
     return flow[: packet.ENDPOINT_BYTES], flow[packet.ENDPOINT_BYTES :]
 
 
 @dataclasses.dataclass
 class Accepted:
-    """A flow that the upstream has accepted: its own next position and what it has got."""
+    """A flow accepted by the upstream, with its sequence positions and the answers by position."""
 
     position: int
     expected: int
@@ -58,7 +58,7 @@
     opened: bool = False
 
     def takes(self, shown: packet.Packet) -> bool:
-        """Tell whether the packet is of this flow.
+        """Return whether the packet belongs to this flow.
 
         Two upstreams may have accepted an opening packet and its copy; the flow opens at the one
         whose position the caller acknowledges.
@@ -67,7 +67,7 @@
 
 
 class Upstream:
-    """An upstream; `foreign` counts packets by flow that it does not hold."""
+    """An upstream; `foreign` counts the packets of each flow that it does not hold."""
 
     def __init__(self, name: str, first_position: int = 1_000, room: int = 2_000):
         self.name = name
@@ -80,7 +80,7 @@
         self.ran: list[bytes] = []
 
     def on_packet(self, raw: bytes) -> list[bytes]:
-        """Return what the upstream sends after a packet."""
+        """Process a packet and return the packets to send."""
         if not self.alive:
             return []
         shown = packets.from_caller(raw)
@@ -101,7 +101,7 @@
         return [self.answer(shown, accepted)]
 
     def on_opening(self, shown: packet.Packet) -> list[bytes]:
-        """Accept a flow, or return its packet if there is no room."""
+        """Accept a flow, or mark its packet as returned if the upstream is full."""
         if shown.flow not in self.flows:
             if len(self.flows) >= self.room:
                 return [mark_returned(shown.raw)]
@@ -112,7 +112,7 @@
         return [pack(route, caller, flags, accepted.position, shown.sequence + 1)]
 
     def answer(self, shown: packet.Packet, accepted: Accepted) -> bytes:
-        """Run the request, once however often it comes, and return the answer."""
+        """Return the answer to a request, running it only on the first copy."""
         body = accepted.answers.get(shown.sequence)
         if body is None:
             request = shown.raw[packets.HEADER.size :]
@@ -123,13 +123,13 @@
         return pack(route, caller, packets.ACK, accepted.position + 1, acknowledged, body)
 
     def restart(self) -> None:
-        """Start anew: flows and what ran are forgotten, as after a crash."""
+        """Restart without any flows, as after a crash."""
         self.flows.clear()
         self.alive = True
 
 
 def mark_returned(raw: bytes) -> bytes:
-    """Return the packet as an upstream gives it back."""
+    """Return the packet with the flag that marks it as returned by an upstream."""
     marked = bytearray(raw)
     marked[packets.FLAGS_OFFSET] |= packets.RETURNED
     return bytes(marked)
@@ -138,7 +138,7 @@
 class Caller:
     """A caller with one flow and one request at a time; times in ms.
 
-    `answer` is that of the last request, `resets` counts the resets believed.
+    `answer` belongs to the last request; `resets` counts the resets accepted.
     """
 
     def __init__(self, flow: packet.Flow, now: int, first_position: int = 7_000):
@@ -157,14 +157,14 @@
         self.tries = 0
 
     def ask(self, request: bytes, now: int) -> None:
-        """Send a request as soon as the flow is open."""
+        """Queue a request, sent as soon as the flow is open."""
         self.waiting = request
         self.answer = None
         self.next_at = min(self.next_at, now) if not self.open else now
         self.interval = RESEND_MS
 
     def due(self, now: int) -> list[bytes]:
-        """Return what the caller sends now, and set when it sends next."""
+        """Return the packets due now and schedule the next send."""
         if self.over or now < self.next_at:
             return []
         caller, route = ends(self.flow)
@@ -178,7 +178,7 @@
         return [pack(caller, route, packets.ACK, self.sequence, self.acknowledged, self.waiting)]
 
     def open_again(self, caller: bytes, route: bytes, now: int) -> list[bytes]:
-        """Return the next copy of the opening packet, until the caller gives up."""
+        """Return the next copy of the opening packet, or nothing after the timeout."""
         if now >= self.started_at + OPEN_LIMIT_MS:
             self.over = True
             return []
@@ -189,7 +189,7 @@
         return [pack(caller, route, packets.SYN, self.sequence - 1, copy)]
 
     def on_packet(self, raw: bytes, now: int) -> list[bytes]:
-        """Act on a packet; return what the caller sends at once."""
+        """Process a packet and return the packets to send at once."""
         got = packets.from_upstream(raw)
         if got is None or got.flow != self.flow or self.over:
             return []
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,6 +1,6 @@
-"""The platform as a process: it speaks docs/PLATFORM.md and can be down, stale, slow or older.
+"""Platform stand-in: serves the API of docs/PLATFORM.md, and can be down, stale, slow or older.
 
-The system may only read here; the `standin/` paths are the operators' and the tests' side.
+The API is read-only; operators and tests write through the `standin/` paths.
 """
 
 import argparse
@@ -19,14 +19,14 @@
 """Largest value in bytes."""
 
 PATIENCE_MS = 2000
-"""Longest wait after SIGTERM for calls under way, in milliseconds."""
+"""How long to wait for calls in progress after SIGTERM."""
 
 MODES = ("up", "down", "stale", "slow", "older")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mode:
-    """How the platform behaves, as `POST /standin/mode` sets it."""
+    """The fault mode set by `POST /standin/mode`."""
 
     mode: str = "up"
     close: bool = False
@@ -37,11 +37,11 @@
 
     def __post_init__(self) -> None:
         if self.mode not in MODES:
-            raise ValueError(f"mode is one of {MODES}")
+            raise ValueError(f"mode must be one of {MODES}")
 
 
 class Platform:
-    """Answer reads and watches of values and instances."""
+    """Serves reads and watches of values and instances."""
 
     def __init__(self, seed: int):
         self.condition = threading.Condition()
@@ -55,7 +55,7 @@
         self.stopping = False
 
     def answer(self, query: web.Query) -> web.Answer:
-        """Answer one query."""
+        """Return the response to an HTTP request."""
         if query.path.startswith("standin/"):
             return self.standin(query)
         if query.method != "GET":
@@ -72,13 +72,13 @@
         return web.json_answer({"error": "no such path"}, 404)
 
     def refuse(self) -> web.Answer:
-        """Answer as a platform that is down."""
+        """Return the response of a platform that is down."""
         if self.mode.close:
             return web.Answer(cut=True)
         return web.json_answer({"error": "down"}, 503)
 
     def ceiling(self, kind: str, now: int, older: bool) -> int:
-        """Return the newest revision that this answer may show."""
+        """Return the newest revision that the response may contain."""
         log = self.values if kind == "values" else self.instances
         revision = log.revision
         if kind == "instances" and self.mode.list_lag_ms:
@@ -88,7 +88,7 @@
         return revision
 
     def delta(self, query: web.Query, head: str) -> web.Answer:
-        """Give what changed after a revision; wait for it where there is nothing yet."""
+        """Return the changes after a revision; wait up to `wait_ms` if there are none yet."""
         kind = "values" if head == "watch" else "instances"
         log = self.values if kind == "values" else self.instances
         after = query.number("after", 0)
@@ -112,7 +112,7 @@
         return web.json_answer({**fields, "instances": [v.value for v in page.versions]})
 
     def wait_newer(self, kind: str, after: int, wait_until: int, older: bool) -> None:
-        """Wait, with the lock held, until there is more than `after` or the time is up."""
+        """Wait for a revision above `after` or the timeout; the lock must be held."""
         while self.mode.mode != "down" and not self.stopping:
             now = web.now_ms()
             if self.ceiling(kind, now, older) > after or now >= wait_until:
@@ -122,7 +122,7 @@
             self.condition.wait(min(wait_until - now, 20 if lagging else wait_until - now) / 1000)
 
     def read(self, key: str) -> web.Answer:
-        """Give one value, or every key with its revision."""
+        """Return one value, or every key with its revision."""
         with self.condition:
             if self.mode.mode == "down":
                 return self.refuse()
@@ -139,7 +139,7 @@
         return web.json_answer({"error": "no such key"}, 404)
 
     def standin(self, query: web.Query) -> web.Answer:
-        """Answer the operators' and the tests' side."""
+        """Return the response to a request on the `standin/` paths."""
         change = {
             "standin/values": self.put_values,
             "standin/instances": self.put_instances,
@@ -173,7 +173,7 @@
         return web.json_answer({"revision": self.instances.revision})
 
     def change_mode(self, document: typing.Any) -> web.Answer:
-        """Switch the mode; stale and older hold what is shown now, or the revision given."""
+        """Set the mode; stale and older freeze the current revision, or the one given."""
         self.mode = Mode(**document)
         self.held = {"values": self.values.revision, "instances": self.instances.revision}
         if self.mode.revision is not None:
@@ -181,7 +181,7 @@
         return web.json_answer({"mode": self.mode.mode})
 
     def stop(self) -> None:
-        """Let the waiting watches go."""
+        """End the waiting watches."""
         with self.condition:
             self.stopping = True
             self.condition.notify_all()
@@ -191,7 +191,7 @@
     """Serve until SIGTERM."""
     parser = argparse.ArgumentParser(prog="standins.platform", description=__doc__)
     web.port_option(parser)
-    parser.add_argument("--seed", type=int, default=0, help="seed of the share of older answers")
+    parser.add_argument("--seed", type=int, default=0, help="seed that picks the older responses")
     options = parser.parse_args(arguments)
     app = Platform(options.seed)
     web.serve(web.Server(options.port, app), app.stop, PATIENCE_MS)
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Start modules as child processes, wait for their `ready` line, and end them by id."""
+"""Start modules as child processes, wait for their `ready` line, and stop them."""
 
 import collections
 import contextlib
@@ -25,7 +25,7 @@
 class Child:
     """A child process whose standard output is read line by line into `lines`.
 
-    With `log`, what it writes on standard error goes into the file of this name.
+    With `log`, its standard error is written to that file.
     """
 
     def __init__(self, name: str, command: list[str], log: pathlib.Path | None = None):
@@ -49,7 +49,7 @@
         self.reader.start()
 
     def read(self) -> None:
-        """Keep the lines and pass the ready line on; None says that there will be none."""
+        """Store the output lines and queue the ready line, or None at the end of the output."""
         for line in self.popen.stdout:
             self.lines.append(line.rstrip("\n"))
             if line.startswith("ready"):
@@ -62,11 +62,11 @@
             self.popen.stdin.write(json.dumps(document) + "\n")
             self.popen.stdin.flush()
         except OSError:
-            # It has ended; whoever waits for it learns so.
+            # The child has ended; `wait` returns its exit status.
             pass
 
     def wait_ready(self, seconds: float = READY_SECONDS) -> None:
-        """Wait for the ready line and take its key=value fields."""
+        """Wait for the ready line and parse its key=value fields; raise RuntimeError on timeout."""
         try:
             line = self.ready.get(timeout=seconds)
         except queue.Empty:
@@ -78,12 +78,12 @@
 
     @property
     def port(self) -> int:
-        """The port of the ready line."""
+        """The port given in the ready line."""
         return int(self.fields["port"])
 
     @property
     def url(self) -> str:
-        """The address of a child that speaks HTTP."""
+        """The base URL of a child that serves HTTP."""
         return f"http://127.0.0.1:{self.port}"
 
     def get(self, path: str) -> typing.Any:
@@ -95,25 +95,25 @@
         return self.call("POST", path, json=document)
 
     def call(self, method: str, path: str, **options: typing.Any) -> typing.Any:
-        """Exchange JSON with the child; raise for any status but 200."""
+        """Send an HTTP request and return the JSON response; raise unless the status is 200."""
         response = HTTP.request(method, f"{self.url}/{path}", **options)
         if response.status != 200:
             raise RuntimeError(f"{self.name}: {path}: {response.status} {response.data[:200]!r}")
         return response.json()
 
     def signal(self, number: int) -> None:
-        """Send a signal if the child still runs."""
+        """Send a signal if the child is still running."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def stop(self, seconds: float = STOP_SECONDS) -> int:
-        """Ask the child to end, wait, and return its exit status; kill it if it does not end."""
+        """Terminate the child and return its exit status; kill it on timeout."""
         if self.popen.poll() is None:
             self.popen.terminate()
         return self.wait(seconds)
 
     def wait(self, seconds: float = STOP_SECONDS) -> int:
-        """Wait for the end and for the last line; kill the child if it does not end."""
+        """Wait for the child and its output to end; kill it on timeout. Return its exit status."""
         try:
             self.popen.wait(seconds)
         except subprocess.TimeoutExpired:
@@ -123,14 +123,14 @@
         return self.popen.returncode
 
     def kill(self) -> None:
-        """End the child at once."""
+        """Kill the child if it is running."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
 
 
 class Children:
-    """Start children and end them all on leaving the `with` block."""
+    """Starts children and stops them all at the end of the `with` block."""
 
     def __init__(self) -> None:
         self.children: list[Child] = []
@@ -149,7 +149,7 @@
     def launch(
         self, name: str, module: str, *arguments: object, log: pathlib.Path | None = None
     ) -> Child:
-        """Start `python -m module` without waiting; call `wait_ready` on what it returns."""
+        """Start `python -m module` without waiting; call `wait_ready` on the child."""
         child = Child(name, [sys.executable, "-m", module, *map(str, arguments)], log)
         self.children.append(child)
         return child
@@ -178,6 +178,6 @@
 def publish_instance(
     platform: Child, name: str, role: str, address: str, zone: str, state: str = "live"
 ) -> int:
-    """Put an instance into the platform's list and return the list's revision."""
+    """Add or update an instance in the platform's list and return the list's revision."""
     fields = {"name": name, "role": role, "address": address, "zone": zone, "state": state}
     return platform.post("standin/instances", fields)["revision"]
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,8 +1,8 @@
-"""Stand in for the platform's store: keys, values, revisions, watches, and the ways it fails.
+"""Stand-in for the platform's store: keys, values, revisions, watches and failures.
 
-Only what a reader sees is played. `mode` lets it refuse (503), keep silent, lose answers or answer
-late; `forget` drops its history, so that watches are told to read everything anew. From `age` on,
-readers that allow it get the state of that moment.
+Only the read side is served over HTTP. `set_mode` makes it refuse calls (503) or leave them
+unanswered; `forget` drops the history, so that watches fail with 410 and readers list everything
+again; after `age`, reads that allow stale data get the state of that moment.
 """
 
 import base64
@@ -20,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Item:
-    """One item as it was written; without a value it is the word that the key is gone."""
+    """A written item; a value of None marks a deleted key."""
 
     key: str
     value: bytes | None
     revision: int
 
     def document(self):
-        """Return the item as a watch or a list shows it."""
+        """Return the JSON document of the item in watches and lists."""
         if self.value is None:
             return {"key": self.key, "revision": self.revision, "tombstone": True}
         text = base64.b64encode(self.value).decode()
@@ -42,7 +42,7 @@
 
 
 class Store:
-    """The store and its server; the methods may be called from any thread."""
+    """The store and its server; methods are thread-safe."""
 
     def __init__(self):
         self.changed = threading.Condition()
@@ -62,7 +62,7 @@
         return f"127.0.0.1:{self.server.server_port}"
 
     def put(self, key: str, value) -> None:
-        """Write a value, JSON unless it is bytes; None deletes the key."""
+        """Write a value, encoded as JSON unless it is bytes; None deletes the key."""
         data = value if isinstance(value, bytes | None) else json.dumps(value).encode()
         with self.changed:
             self.revision += 1
@@ -82,24 +82,24 @@
             self.changed.notify_all()
 
     def age(self) -> None:
-        """Give the state of now, from now on, to readers that allow an old one."""
+        """Serve the current state from now on to reads that allow stale data."""
         with self.changed:
             self.old = (dict(self.items), self.revision)
 
     def set_mode(self, mode: str) -> None:
-        """Serve, refuse every call, or keep silent from now on."""
+        """Set whether calls are served, refused or left unanswered."""
         with self.changed:
             self.mode = mode
             self.changed.notify_all()
 
     def close(self) -> None:
-        """End the server."""
+        """Stop the server."""
         self.set_mode(REFUSING)
         self.server.shutdown()
         self.server.server_close()
 
     def answer(self, query: web.Query) -> web.Answer:
-        """Answer one call, for the server."""
+        """Return the response to an HTTP request."""
         self.calls += 1
         with self.changed:
             if self.mode == SILENT:
@@ -118,7 +118,7 @@
         return web.Answer(404)
 
     def watch(self, query: web.Query) -> web.Answer:
-        """Wait for a change after a revision; called with the lock held."""
+        """Wait for changes after a revision and return them; the lock must be held."""
         prefix = query.parameters.get("prefix", "")
         after = query.number("after", 0)
         until = time.monotonic() + query.number("wait_ms", 0) / 1000
@@ -140,7 +140,7 @@
 
 
 def page(items: dict[str, Item], revision: int, prefix: str, after: str | None) -> web.Answer:
-    """Return a page of a state's list."""
+    """Return one page of the items with a prefix."""
     keys = sorted(k for k in items if k.startswith(prefix) and k > (after or ""))
     documents = [items[key].document() for key in keys[:PAGE_ITEMS]]
     more = len(keys) > PAGE_ITEMS
--- a/standins/system.py
+++ b/standins/system.py
@@ -1,4 +1,4 @@
-"""Start the system's own processes on loopback, beside stand-ins, for tests and the demo."""
+"""Start balancers and sidecars on loopback, with stand-ins, for tests and the demo."""
 
 import contextlib
 import json
@@ -20,14 +20,14 @@
 
 
 PORTS = range(10_000, 30_000)
-"""Below the ports that the kernel gives to outgoing connections.
+"""Below the ephemeral port range.
 
-One of those could take a port between the moment at which it was found free and its use.
+An outgoing connection could otherwise take a port between the check that it is free and its use.
 """
 
 
 def free_port() -> int:
-    """Return a port that is free for UDP and TCP at this moment."""
+    """Return a port that is currently free for UDP and TCP."""
     while True:
         port = secrets.choice(PORTS)
         with (
@@ -41,7 +41,7 @@
 
 
 class System:
-    """The processes of one run: a platform, balancers, and upstreams with their sidecars."""
+    """The processes of a run: a platform, balancers, and upstreams with their sidecars."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
             processes.publish_value(self.platform, "labels/00", {"instances": self.labels})
 
     def enlist(self, name: str, role: str, port: int, zone: str, state: str = "live") -> None:
-        """Put an instance into the platform's list."""
+        """Add an instance to the platform's list, or update it."""
         processes.publish_instance(self.platform, name, role, f"127.0.0.1:{port}", zone, state)
 
     def settings(self, name: str, port: int, zone: str, **extra: typing.Any) -> pathlib.Path:
@@ -94,7 +94,7 @@
         return path
 
     def start_balancer(self, name: str, zone: str, **extra: typing.Any) -> "Balancer":
-        """Start a balancer and list it."""
+        """Start a balancer and add it to the platform's list."""
         balancer = Balancer(name, zone, free_port(), free_port())
         path = self.settings(
             name, balancer.port, zone, listen=f"127.0.0.1:{balancer.listen}", **extra
@@ -108,7 +108,7 @@
     def start_sidecar(
         self, name: str, zone: str, upstream: processes.Child, **extra: typing.Any
     ) -> "Sidecar":
-        """Start a sidecar beside an upstream and list it."""
+        """Start the sidecar of an upstream and add it to the platform's list."""
         sidecar = Sidecar(name, zone, free_port(), upstream)
         path = self.settings(name, sidecar.port, zone, upstream=upstream.url, **extra)
         sidecar.child = self.launch("ebonystile.commands.sidecar", name, path)
@@ -117,12 +117,12 @@
         return sidecar
 
     def launch(self, module: str, name: str, settings: pathlib.Path) -> processes.Child:
-        """Start a program; with `logs`, each process has a file of its own there."""
+        """Start a module; with `logs`, its standard error goes to a file in that folder."""
         log = self.logs / f"{name}.log" if self.logs else None
         return self.children.launch(name, module, "--settings", settings, log=log)
 
     def addresses(self) -> list[tuple[str, int]]:
-        """Return where the fabric hands packets: every balancer that takes them now."""
+        """Return the addresses of the balancers that callers send packets to."""
         return [("127.0.0.1", b.listen) for b in list(self.balancers.values())]
 
 
@@ -149,7 +149,7 @@
 
 
 def wait_healthy(child: processes.Child, port: int) -> None:
-    """Wait until a process says that it is configured; raise if it ends or takes too long."""
+    """Wait until a process reports healthy; raise RuntimeError if it ends or on timeout."""
     give_up = time.monotonic() + READY_S
     while time.monotonic() < give_up:
         if child.popen.poll() is not None:
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream as a process: it speaks docs/UPSTREAM.md and counts each run by request id."""
+"""Upstream stand-in: serves the API of docs/UPSTREAM.md and counts runs by request id."""
 
 import argparse
 import dataclasses
@@ -13,18 +13,18 @@
 from standins import answers, reports, slots, web
 
 PATIENCE_MS = 60_000
-"""Longest wait after SIGTERM for running requests, in milliseconds."""
+"""How long to wait for running requests after SIGTERM."""
 
 MAX_EVENTS = 1000
-"""Most events in one answer."""
+"""Maximum number of events in one response."""
 
 SHED_RETRY_MS = 50
-"""What a shed request is told to wait, in milliseconds, times one more than the jobs waiting."""
+"""Retry delay sent with a shed request, times one more than the queued jobs."""
 
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """How long requests take: a seeded log-normal around `service_ms`, longer while cold."""
+    """Draws service times from a seeded log-normal distribution, longer during slow start."""
 
     service_ms: float
     spread: float
@@ -41,7 +41,7 @@
         self.source = random.Random(self.seed)
 
     def cold(self, now: int) -> bool:
-        """Tell whether the upstream is still warming up."""
+        """Return whether the upstream is still in slow start."""
         return now < self.started + self.cold_ms or self.served < self.cold_requests
 
     def draw(self, now: int) -> int:
@@ -53,7 +53,7 @@
 
 
 class Upstream:
-    """Answer queries as an upstream would; the `standin/` paths are for tests."""
+    """Handles requests as an upstream does; the `standin/` paths are for tests."""
 
     def __init__(self, options: argparse.Namespace):
         self.name = options.name
@@ -79,7 +79,7 @@
         self.server: web.Server | None = None
 
     def answer(self, query: web.Query) -> web.Answer:
-        """Answer one query."""
+        """Return the response to an HTTP request."""
         head, _, rest = query.path.partition("/")
         route = self.routes().get((query.method, head))
         if route is None:
@@ -90,7 +90,7 @@
         return route(query, rest)
 
     def routes(self) -> dict[tuple[str, str], typing.Callable[[web.Query, str], web.Answer]]:
-        """Return what answers each method and first part of a path."""
+        """Return the handler of each method and first path segment."""
         return {
             ("POST", "requests"): self.run,
             ("DELETE", "requests"): self.cancel,
@@ -103,7 +103,7 @@
         }
 
     def run(self, query: web.Query, path: str) -> web.Answer:
-        """Run one request in a slot."""
+        """Run a request in a slot and return its result."""
         request = bytes.fromhex(query.headers["x-request-id"]).hex()
         deadline = int(query.headers["x-deadline"])
         idempotent = {"0": False, "1": True}[query.headers["x-idempotent"]]
@@ -122,12 +122,12 @@
         return web.Answer(200, answers.receipt(request, self.name, service, path, query.body))
 
     def refuse_service(self) -> web.Answer:
-        """Refuse a query that was meant for another service."""
+        """Refuse a request for a service that this upstream does not serve."""
         self.wrong_service += 1
         return web.json_answer({"error": "wrong service"}, 421, X_Not_Run="1")
 
     def refuse(self, outcome: slots.Outcome) -> web.Answer:
-        """Tell why there is no answer, and truthfully whether the request was started."""
+        """Return an error response that says why, and whether the request was started."""
         headers = {"X-Not-Run": "0" if outcome.ran else "1"}
         status = 499
         if outcome is slots.Outcome.SHED:
@@ -140,11 +140,11 @@
         return web.Answer(status, body, headers=headers)
 
     def cancel(self, query: web.Query, request: str) -> web.Answer:
-        """Cancel a request, wherever it is."""
+        """Cancel a request, queued or running."""
         return web.json_answer({"was": self.slots.cancel(request)})
 
     def events(self, query: web.Query, path: str) -> web.Answer:
-        """Give the events after a position; wait for the next one where there is none yet."""
+        """Return the events after a position; wait up to `wait_ms` if there are none yet."""
         service = query.headers["x-service"]
         if service not in self.services:
             return self.refuse_service()
@@ -159,14 +159,14 @@
         return web.Answer(200, cbor2.dumps(events), "application/cbor")
 
     def tell_health(self, query: web.Query, rest: str) -> web.Answer:
-        """Report health, as the faults let it be seen."""
+        """Return the health report, altered by the injected faults."""
         now = web.now_ms()
         draining = self.slots.draining
         truth = {"ok": True, "draining": draining, "cold": self.pace.cold(now)}
         return web.json_answer(self.health.tell(now, truth))
 
     def tell_load(self, query: web.Query, rest: str) -> web.Answer:
-        """Report load, as the faults let it be seen."""
+        """Return the load report, altered by the injected faults."""
         truth = {
             "running": len(self.slots.running),
             "queued": len(self.slots.waiting),
@@ -177,12 +177,12 @@
         return web.json_answer(self.load.tell(web.now_ms(), truth))
 
     def drain(self, query: web.Query, rest: str) -> web.Answer:
-        """Begin to drain."""
+        """Start draining."""
         self.slots.drain()
         return web.json_answer({"draining": True})
 
     def counts(self) -> dict[str, typing.Any]:
-        """Return what was run, for the tests and the demo to judge by."""
+        """Return the run counts that the tests and the demo check."""
         with self.slots.condition:
             return {
                 "name": self.name,
@@ -194,11 +194,11 @@
             }
 
     def tell_runs(self, query: web.Query, rest: str) -> web.Answer:
-        """Give the counts."""
+        """Return the run counts."""
         return web.json_answer(self.counts())
 
     def change_faults(self, query: web.Query, rest: str) -> web.Answer:
-        """Take over the faults that a test asks for; what it leaves out is healed."""
+        """Set the injected faults; those not given are cleared."""
         faults = query.json()
         self.health.change(
             faults.get("health_lag_ms", 0),
@@ -216,13 +216,13 @@
         return web.json_answer({})
 
     def stop(self) -> None:
-        """Drain and let waiting feeds go."""
+        """Start draining and end waiting feed reads."""
         self.slots.drain()
         self.stopping.set()
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command line parser."""
     parser = argparse.ArgumentParser(prog="standins.upstream", description=__doc__)
     web.port_option(parser)
     add = parser.add_argument
@@ -234,16 +234,16 @@
     add("--service-ms", type=float, default=10, help="median service time")
     add("--spread", type=float, default=0.0, help="sigma of the log-normal service time; 0: fixed")
     add("--seed", type=int, default=0, help="seed of the service times")
-    add("--cold-ms", type=int, default=0, help="cold for so long after the start")
-    add("--cold-requests", type=int, default=0, help="cold for so many requests")
-    add("--cold-factor", type=float, default=5.0, help="how much slower while cold")
+    add("--cold-ms", type=int, default=0, help="duration of slow start after the start, in ms")
+    add("--cold-requests", type=int, default=0, help="number of requests in slow start")
+    add("--cold-factor", type=float, default=5.0, help="factor on service times during slow start")
     add("--feed-start", type=int, default=0, help="time of position 0 of all feeds, ms since epoch")
     add("--feed-interval", type=int, default=1000, help="time from one event to the next, in ms")
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Serve until SIGTERM, finish what runs, print the counts; 0 if everything finished."""
+    """Serve until SIGTERM, print the counts; return 0 if all running requests finished."""
     options = make_parser().parse_args(arguments)
     app = Upstream(options)
     app.server = web.Server(options.port, app)
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -1,8 +1,8 @@
-"""Call one service as its users do, through the caller library, and record what was told.
+"""Generate load on one service through the caller library and record every result.
 
-A process of its own for each group of users. It reads JSON lines on standard input: the balancers'
-addresses (the list is the fabric's: every datagram goes to any of them), then `stop`. At the end it
-prints one line `record {...}`, which `standins.verdict` compares with what the upstreams counted.
+One process serves one group of callers. It reads JSON lines on standard input: lists of balancer
+addresses (each datagram goes to any of them), then `stop`. At the end it prints a line
+`record {...}`, which `standins.verdict` compares with the run counts of the upstreams.
 """
 
 import argparse
@@ -21,26 +21,26 @@
 
 OPEN_MS = 60_000
 DEADLINE_MS = 15_000
-"""How long a request may take, in ms."""
+"""Deadline of a request, from its start."""
 
 GIVE_UP_MS = 30_000
-"""After this long, in ms, a report that was refused each time is given up, and counted as lost."""
+"""How long a refused request is retried before it counts as lost."""
 
 WAIT_MARGIN_MS = 20_000
-"""Time beyond its deadline in which the library owes the final word, in ms."""
+"""How long after the deadline the library may take to return a result."""
 
 STALL_MS = 5_000
-"""A feed that shows nothing for so much longer than its interval, in ms, is broken."""
+"""How much longer than its interval a feed may go without an event."""
 
 BULK_BYTES = 300_000
 
 ARRIVAL_SECONDS = 5.0
-"""Users open their flows over this time: at one instant, nobody could know any load yet."""
+"""Callers start spread over this time, so that load reports can follow the new flows."""
 
 
 @dataclasses.dataclass(slots=True)
 class Tried:
-    """One request as sent, and what the caller was told of it."""
+    """One attempt to send a request, with its outcome."""
 
     request: str
     outcome: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Errand:
-    """One thing that a user wants done once: a request, tried anew only after `not_run`."""
+    """A request that should run once, with all attempts; repeated only after `not_run`."""
 
     kind: str
     idempotent: bool
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """One flow and what went wrong on it; `latest_ms` is the delay of its latest feed event."""
+    """One flow and its faults; `latest_ms` is the longest delay of a feed event."""
 
     feed_events: int = 0
     latest_ms: int = 0
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """Everything that this process's users were told."""
+    """The results of all callers in this process."""
 
     service: str
     errands: list[Errand] = dataclasses.field(default_factory=list)
@@ -78,7 +78,7 @@
 
 
 class Users:
-    """The users of one service; each runs in a thread of its own."""
+    """The callers of one service; each runs in its own thread."""
 
     def __init__(self, options: argparse.Namespace):
         self.options = options
@@ -91,26 +91,26 @@
         self.threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Start every user."""
+        """Start all callers."""
         for number in range(self.options.feeds):
             self.begin(self.crew, number)
         for number in range(self.options.uploads):
             self.begin(self.uploader, number)
 
     def begin(self, user: typing.Callable[[random.Random], None], number: int) -> None:
-        """Start one user with randomness of its own."""
+        """Start one caller with its own random source."""
         source = random.Random(f"{self.service} {user.__name__} {number}")
         thread = threading.Thread(target=self.arrive, args=(user, source), daemon=True)
         self.threads.append(thread)
         thread.start()
 
     def arrive(self, user: typing.Callable[[random.Random], None], source: random.Random) -> None:
-        """Be one user, from a random moment on."""
+        """Run one caller after a random delay."""
         if not self.stopping.wait(source.uniform(0, ARRIVAL_SECONDS)):
             user(source)
 
     def crew(self, source: random.Random) -> None:
-        """Keep one flow all the time: follow a feed, and now and then send a report."""
+        """Keep one flow open, follow a feed on it and send requests at intervals."""
         flow, session = self.open()
         watcher = threading.Thread(target=self.follow, args=(flow, session, source), daemon=True)
         watcher.start()
@@ -126,7 +126,7 @@
         self.leave(flow, session)
 
     def uploader(self, source: random.Random) -> None:
-        """Open a flow for each upload."""
+        """Send uploads at intervals, each on a new flow."""
         while not self.pause(source, self.options.upload_every):
             flow, session = self.open()
             body = source.randbytes(source.randint(self.options.least, self.options.most))
@@ -134,23 +134,23 @@
             self.leave(flow, session)
 
     def pause(self, source: random.Random, seconds: float) -> bool:
-        """Wait a while; True when it is time to stop."""
+        """Wait about `seconds`; return whether to stop."""
         return self.stopping.wait(source.uniform(0.5, 1.5) * seconds)
 
     def open(self) -> tuple[client.Flow, Session]:
-        """Open a flow and begin to record it."""
+        """Open a flow and add its session to the record."""
         session = Session()
         with self.lock:
             self.record.sessions.append(session)
         return self.caller.open(self.service, clock.now() + OPEN_MS), session
 
     def leave(self, flow: client.Flow, session: Session) -> None:
-        """Close a flow."""
+        """Close a flow and record how often it was reopened."""
         session.reopened = flow.core.reopen_count
         flow.close()
 
     def follow(self, flow: client.Flow, session: Session, source: random.Random) -> None:
-        """Follow a feed from now on, and check that no event is missing, doubled or changed."""
+        """Follow a feed from now on, and check that no event is missing, repeated or altered."""
         path = f"spans/{source.randrange(self.options.paths)}"
         service_feed = answers.Feed(
             self.service, self.options.feed_start, self.options.feed_interval
@@ -184,7 +184,7 @@
         *,
         idempotent: bool,
     ) -> None:
-        """Send a request until there is an answer; send it anew only when it was not run."""
+        """Send a request and record the result; retry only while it was not run."""
         errand = Errand(kind, idempotent)
         began = clock.now()
         while True:
@@ -205,7 +205,7 @@
     def send(
         self, flow: client.Flow, errand: Errand, path: str, body: bytes
     ) -> progress.Result | None:
-        """Send a request once and record the final word on it."""
+        """Send a request once and record its outcome; return None if there is none in time."""
         deadline = clock.now() + DEADLINE_MS
         future = flow.submit(path, body, deadline, idempotent=errand.idempotent)
         try:
@@ -218,7 +218,7 @@
         return result
 
     def check(self, errand: Errand, result: progress.Result, path: str, body: bytes) -> None:
-        """Check that the answer is whole and belongs to this very request."""
+        """Check that the answer is complete and belongs to the request."""
         request = result.request.hex()
         if result.status != 200:
             errand.faults.append(f"status {result.status}")
@@ -229,7 +229,7 @@
             self.check_receipt(errand, request, result.body, body)
 
     def check_receipt(self, errand: Errand, request: str, receipt: bytes, body: bytes) -> None:
-        """Check a receipt's fields against what was sent."""
+        """Check the fields of a receipt against the request."""
         fields = json.loads(receipt)
         digest = hashlib.sha256(body).hexdigest()
         if fields["service"] != self.service:
@@ -238,7 +238,7 @@
             errand.faults.append("receipt of something else")
 
     def stop(self) -> None:
-        """Let every user finish what is under way."""
+        """Wait for all callers to finish their requests, then close the client."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
@@ -246,26 +246,26 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command line parser."""
     parser = argparse.ArgumentParser(prog="standins.workload", description=__doc__)
     add = parser.add_argument
     add("--service", required=True)
-    add("--feeds", type=int, default=0, help="users who keep a flow with a feed")
-    add("--paths", type=int, default=4, help="different feeds")
+    add("--feeds", type=int, default=0, help="callers that keep a flow open with a feed")
+    add("--paths", type=int, default=4, help="number of different feeds")
     add("--feed-start", type=int, default=0, help="time of position 0 of all feeds")
     add("--feed-interval", type=int, default=500, help="ms from one event to the next")
-    add("--kind", default="report", help="what a user sends that must not be repeated")
-    add("--every", type=float, default=1.0, help="seconds between two of these of one user")
-    add("--bulk-share", type=float, default=0.0, help="share of them followed by a long answer")
-    add("--uploads", type=int, default=0, help="users who upload")
-    add("--upload-every", type=float, default=3.0, help="seconds between a user's uploads")
+    add("--kind", default="report", help="kind of the requests that are not idempotent")
+    add("--every", type=float, default=1.0, help="seconds between these requests of one caller")
+    add("--bulk-share", type=float, default=0.0, help="share of them followed by a bulk answer")
+    add("--uploads", type=int, default=0, help="callers that upload")
+    add("--upload-every", type=float, default=3.0, help="seconds between uploads of one caller")
     add("--least", type=int, default=1_000_000, help="smallest upload in bytes")
     add("--most", type=int, default=3_000_000, help="largest upload in bytes")
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Work until standard input says `stop`, or ends."""
+    """Generate load until `stop` or the end of standard input."""
     users = Users(make_parser().parse_args(arguments))
     print("ready", flush=True)
     started = False
