--- a/src/ebonystile/core/carrying/balancer.py
+++ b/src/ebonystile/core/carrying/balancer.py
@@ -238,9 +238,9 @@
         return self.end_failed_search(search, now)
 
     def exclude_unresponsive(self, search: flow_search.Search, now: int) -> None:
-        """Exclude sidecars that did not answer in time from new flows for `UNRESPONSIVE_MS`."""
+        """Exclude sidecars that did not answer from new flows for `SIDECAR_EXCLUSION_MS`."""
         for upstream in search.unanswered():
-            self.unresponsive_until[upstream.address] = now + flow_search.UNRESPONSIVE_MS
+            self.unresponsive_until[upstream.address] = now + flow_search.SIDECAR_EXCLUSION_MS
             self.unresponsive_since.setdefault(upstream.address, now)
 
     def end_failed_search(self, search: flow_search.Search, now: int) -> list[effects.Effect]:
--- a/src/ebonystile/core/carrying/flow_search.py
+++ b/src/ebonystile/core/carrying/flow_search.py
@@ -21,7 +21,7 @@
 PROBE_TIMEOUT_MS = 400
 """Time allowed for the answer to a probe, in ms."""
 
-UNRESPONSIVE_MS = 1_000
+SIDECAR_EXCLUSION_MS = 1_000
 """How long a sidecar that did not answer is not asked to take new flows, in ms."""
 
 MAX_BLIND_PROBES = 2
--- a/src/ebonystile/core/carrying/table.py
+++ b/src/ebonystile/core/carrying/table.py
@@ -41,7 +41,7 @@
 FAILURE_HALF_LIFE_MS = 5_000
 """Half-life of the failure rate, in ms, so that an upstream without new flows is tried again."""
 
-POSITIONS = 1 << 32
+SEQUENCE_MODULUS = 1 << 32
 """Sequence numbers wrap around at this value."""
 
 MAX_OFFER_DISTANCE = 1 << 16
@@ -161,10 +161,10 @@
                 self.request_stats.record_failure(now)
         if not received.length:
             return
-        end = (received.sequence + received.length) % POSITIONS
+        end = (received.sequence + received.length) % SEQUENCE_MODULUS
         if (
             record.request_end is None
-            or 0 < (end - record.request_end) % POSITIONS < POSITIONS // 2
+            or 0 < (end - record.request_end) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
         ):
             record.request_end = end
             self.busy.pop(received.flow, None)
@@ -176,7 +176,7 @@
         record.seen_at = now
         if sent.accepts:
             record.offered_position = sent.sequence
-            record.answer_end = (sent.sequence + 1) % POSITIONS
+            record.answer_end = (sent.sequence + 1) % SEQUENCE_MODULUS
             return
         since = self.busy.get(sent.flow)
         if since is not None and sent.length:
@@ -186,7 +186,7 @@
             del self.busy[sent.flow]
             self.request_stats.record_failure(now)
         if sent.length:
-            record.answer_end = (sent.sequence + sent.length) % POSITIONS
+            record.answer_end = (sent.sequence + sent.length) % SEQUENCE_MODULUS
         if sent.closes:
             record.closed_by_upstream = True
         if sent.aborts:
@@ -257,4 +257,4 @@
 
     Two upstreams may accept copies of one opening packet; the caller continues with one of them.
     """
-    return (acknowledged - offered) % POSITIONS < MAX_OFFER_DISTANCE
+    return (acknowledged - offered) % SEQUENCE_MODULUS < MAX_OFFER_DISTANCE
--- a/standins/ends.py
+++ b/standins/ends.py
@@ -19,7 +19,7 @@
 RESEND_MS, RESEND_MOST_MS = 200, 1_600
 """First and maximum interval between copies of a packet."""
 
-POSITIONS = 1 << 32
+SEQUENCE_MODULUS = 1 << 32
 
 
 def pack(
@@ -30,8 +30,8 @@
     target_address, target_port = packets.ADDRESS_PORT.unpack(target)
     head = packets.HEADER.pack(
         0xC0FFEE,
-        sequence % POSITIONS,
-        acknowledged % POSITIONS,
+        sequence % SEQUENCE_MODULUS,
+        acknowledged % SEQUENCE_MODULUS,
         0,
         flags,
         len(data),
@@ -63,7 +63,7 @@
         Two upstreams may have accepted an opening packet and its copy; the flow opens at the one
         whose position the caller acknowledges.
         """
-        return self.opened or shown.acknowledged == (self.position + 1) % POSITIONS
+        return self.opened or shown.acknowledged == (self.position + 1) % SEQUENCE_MODULUS
 
 
 class Upstream:
@@ -105,7 +105,9 @@
         if shown.flow not in self.flows:
             if len(self.flows) >= self.room:
                 return [mark_returned(shown.raw)]
-            self.flows[shown.flow] = Accepted(next(self.positions) % POSITIONS, shown.sequence + 1)
+            self.flows[shown.flow] = Accepted(
+                next(self.positions) % SEQUENCE_MODULUS, shown.sequence + 1
+            )
         accepted = self.flows[shown.flow]
         caller, route = ends(shown.flow)
         flags = packets.SYN | packets.ACK
@@ -201,14 +203,14 @@
             if self.open:
                 return []
             self.open = True
-            self.acknowledged = (got.sequence + 1) % POSITIONS
+            self.acknowledged = (got.sequence + 1) % SEQUENCE_MODULUS
             self.next_at = now
             caller, route = ends(self.flow)
             return [pack(caller, route, packets.ACK, self.sequence, self.acknowledged)]
         if got.length and self.waiting is not None:
             self.answer = raw[packets.HEADER.size :]
             self.answered_at = now
-            self.sequence = (self.sequence + len(self.waiting)) % POSITIONS
-            self.acknowledged = (got.sequence + got.length) % POSITIONS
+            self.sequence = (self.sequence + len(self.waiting)) % SEQUENCE_MODULUS
+            self.acknowledged = (got.sequence + got.length) % SEQUENCE_MODULUS
             self.waiting = None
         return []
--- a/tests/carrying/test_table.py
+++ b/tests/carrying/test_table.py
@@ -62,7 +62,7 @@
 
 def test_sequence_numbers_wrap_around():
     flow_table, record = make_accepted_flow()
-    last = table.POSITIONS - 1
+    last = table.SEQUENCE_MODULUS - 1
     flow_table.on_caller_packet(record, request_packet(sequence=last), 1_000)
     flow_table.on_upstream_packet(record, upstream_packet(b"answer"), 1_050)
     flow_table.on_caller_packet(record, request_packet(sequence=0), 1_100)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -543,7 +543,7 @@
         "packets sent again are no new work",
         CORE + "carrying/table.py",
         "        if (\n            record.request_end is None\n            or 0 < (end - "
-        "record.request_end) % POSITIONS < POSITIONS // 2\n        ):\n",
+        "record.request_end) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2\n        ):\n",
         "        if True:\n",
     ),
     Mutation(
