--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,15 +1,15 @@
-"""Make answers and feed events that a caller can check without asking anyone."""
+"""Deterministic answers and feed events that a caller can verify by itself."""
 
 import dataclasses
 import hashlib
 import json
 
 BULK_PREFIX = "answers/"
-"""A request to `answers/<n>` is answered with n bytes made from its request id."""
+"""A request to `answers/<n>` is answered with n bytes derived from its request id."""
 
 
 def bulk(request: str, size: int) -> bytes:
-    """Return the `size` bytes that belong to the request id (hex), the same everywhere."""
+    """Return `size` bytes derived from a request id in hex."""
     return hashlib.shake_256(request.encode()).digest(size)
 
 
@@ -19,7 +19,7 @@
 
 
 def receipt(request: str, name: str, service: str, path: str, body: bytes) -> bytes:
-    """Return the answer to an ordinary request: who ran it, and what arrived."""
+    """Return the answer to an ordinary request: the upstream's name and what it received."""
     fields = {
         "request": request,
         "name": name,
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Feed:
-    """A feed that is the same at every upstream of a service.
+    """A feed that is identical on all upstreams of a service.
 
-    Event `n` (from 1) of each path exists from `start + n * interval` on, both in milliseconds;
-    so two upstreams with the same settings agree on every position without talking.
+    Event `n` (from 1) of each path exists from `start + n * interval` on, in milliseconds, so that
+    upstreams with the same settings agree on every position.
     """
 
     service: str
@@ -48,15 +48,15 @@
         return max(0, (now - self.start) // self.interval)
 
     def due(self, position: int) -> int:
-        """Return the time from which the event exists."""
+        """Return the time at which the event at a position appears."""
         return self.start + position * self.interval
 
     def event(self, path: str, position: int) -> bytes:
-        """Return the body of one event."""
+        """Return the body of an event."""
         return event_body(self.service, path, position)
 
 
 def event_body(service: str, path: str, position: int) -> bytes:
-    """Return what the event at this position says, for callers to compare."""
+    """Return the body of the event at a position, for callers to compare."""
     name = f"{service}/{path}/{position}"
     return f"{name} {digest(name.encode())[:16]}".encode()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,7 +1,7 @@
-"""Replace every upstream and every balancer while both users' callers go on, and judge the run.
+"""Replace every upstream and every balancer under load, and check that no guarantee is violated.
 
-Progress goes to standard error; the last line on standard output is one JSON object. The exit
-status is 1 if a promise broke. `scripts/demo` runs it.
+Progress goes to standard error; the last line on standard output is a JSON object. The exit status
+is 1 if a guarantee was violated. Run by `scripts/demo`.
 """
 
 import argparse
@@ -20,15 +20,15 @@
 
 BALANCERS = 3
 BALANCER_SECONDS = 5.0
-"""Time between two replacements of balancers: they last as long as those of the upstreams."""
+"""Time between two replacements of balancers, so that they last as long as those of upstreams."""
 STEADY_SECONDS = 8.0
-"""How long the callers work before the first and after the last replacement; imbalance of slot
-time is measured in these times."""
+"""How long the callers run before the first and after the last replacement; the imbalance of slot
+time is measured in these periods."""
 
 RECORD_SECONDS = 60.0
 
 LIMIT_SECONDS = 180
-"""A run that takes longer than this is broken off, with a status other than 0."""
+"""Time limit of a run, after which it is aborted with a nonzero exit status."""
 
 USERS = {
     "line-status": ("--feeds", 56, "--kind", "report", "--bulk-share", 0.1),
@@ -36,7 +36,7 @@
     "ledger": ("--feeds", 42, "--kind", "demand", "--bulk-share", 0.1),
     "evidence": ("--uploads", 4, "--upload-every", 2.0, "--least", 200_000, "--most", 900_000),
 }
-"""The users of each service; neither a report nor a demand may be run twice."""
+"""Options of the callers of each service; reports and demands are not idempotent."""
 
 
 class Demo:
@@ -56,21 +56,21 @@
         print(f"{time.monotonic() - self.began:6.1f} s  {text}", file=sys.stderr, flush=True)
 
     def run(self) -> dict:
-        """Run everything and return the figures."""
+        """Run the demo and return its results."""
         self.start_system()
         self.start_users()
         time.sleep(workload.ARRIVAL_SECONDS)
         evening = self.measure(STEADY_SECONDS)
         self.replace_all()
-        self.say("letting callers go on for a while after the night")
+        self.say("callers continue after the last replacement")
         morning = self.measure(STEADY_SECONDS)
         records = self.stop_users()
-        self.say("stopping the system and collecting the upstreams' counts")
+        self.say("stopping all processes and collecting the run counts of the upstreams")
         self.fleet.stop_all()
         return self.figures(records, evening, morning)
 
     def size(self, service: fleet.Service) -> int:
-        """Return how many upstreams the service gets."""
+        """Return the number of upstreams of a service."""
         return 2 if self.small else service.upstreams
 
     def start_system(self) -> None:
@@ -96,7 +96,7 @@
         self.say(f"{len(self.fleet.members)} upstreams with sidecars are up")
 
     def start_users(self) -> None:
-        """Start the callers and give them the fabric's list of balancers."""
+        """Start the callers and send them the addresses of the balancers."""
         fixed = (
             *("--feed-start", self.fleet.feed_start),
             *("--feed-interval", fleet.FEED_INTERVAL_MS),
@@ -106,15 +106,15 @@
             users = self.children.start(f"users-{service.name}", "standins.workload", *options)
             self.users.append(users)
         self.tell_fabric()
-        self.say("callers work: feeds, reports, demands, uploads")
+        self.say("callers started: feeds, reports, demands, uploads")
 
     def tell_fabric(self) -> None:
-        """Let the fabric spray packets over the present balancers."""
+        """Send the current addresses of the balancers to the callers."""
         for users in self.users:
             users.tell(self.fleet.system.addresses())
 
     def measure(self, seconds: float) -> dict[str, float]:
-        """Let callers work and return how unevenly each service's upstreams were busy."""
+        """Return the imbalance of slot time in each service over the next `seconds`."""
         before = self.busy()
         time.sleep(seconds)
         after = self.busy()
@@ -124,15 +124,15 @@
         return verdict.imbalance(work)
 
     def busy(self) -> dict[tuple[str, str], int]:
-        """Return how long the slots of each upstream have been taken so far, in ms."""
+        """Return the total slot time of each upstream so far, in ms."""
         return {
             (member.service.name, name): member.sidecar.upstream.get("standin/runs")["busy_ms"]
             for name, member in list(self.fleet.members.items())
         }
 
     def replace_all(self) -> None:
-        """Replace every upstream, one at a time in each service, and every balancer meanwhile."""
-        self.say("the night: replacing every upstream and every balancer")
+        """Replace all upstreams, one at a time in each service, and all balancers concurrently."""
+        self.say("replacing every upstream and every balancer")
         pool = concurrent.futures.ThreadPoolExecutor(len(self.services) + 1)
         tasks = [pool.submit(self.replace_upstreams, service) for service in self.services]
         tasks.append(pool.submit(self.replace_balancers))
@@ -165,7 +165,7 @@
             self.say(f"replaced balancer {balancer.name}")
 
     def stop_users(self) -> list[dict]:
-        """Let callers finish what is under way and return their records."""
+        """Let the callers finish their requests and return their records."""
         for users in self.users:
             users.tell("stop")
         records = []
@@ -181,7 +181,7 @@
     def figures(
         self, records: list[dict], evening: dict[str, float], morning: dict[str, float]
     ) -> dict:
-        """Return the line that the demo prints."""
+        """Return the results that the demo prints."""
         judged = verdict.judge(records, self.fleet.counts)
         for fault in (*judged.faults[:20], *self.fleet.faults):
             self.say(f"FAULT {fault}")
@@ -201,18 +201,18 @@
 
 
 def interrupt(*_: object) -> None:
-    """Let SIGTERM and the time limit unwind the `with` blocks, so that nothing stays behind."""
+    """Raise KeyboardInterrupt, so that the `with` blocks stop all child processes."""
     raise KeyboardInterrupt
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the demo; 0 if every promise was kept."""
+    """Run the demo; return 0 if no guarantee was violated."""
     signal.signal(signal.SIGTERM, interrupt)
     signal.signal(signal.SIGALRM, interrupt)
     signal.alarm(LIMIT_SECONDS)
     parser = argparse.ArgumentParser(prog="demo", description=__doc__)
     parser.add_argument("--small", action="store_true", help="one service with two upstreams")
-    parser.add_argument("--logs", type=pathlib.Path, help="folder that keeps a log of each process")
+    parser.add_argument("--logs", type=pathlib.Path, help="folder for the log of each process")
     options = parser.parse_args(arguments)
     with contextlib.ExitStack() as stack:
         folder = options.logs
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Run both users' services on loopback and replace their processes as a night does.
+"""Run several services on loopback and replace their processes, as a rolling upgrade does.
 
-Everything that changes is changed as operators do it: by labels and by the platform's list. A
-replacement starts the new process, lets the old one leave, and only then sends it SIGTERM.
+Changes are made as operators make them: by labels and in the platform's list. A replacement starts
+the new process, marks the old one as leaving, and only then sends it SIGTERM.
 """
 
 import concurrent.futures
@@ -14,11 +14,10 @@
 from standins import processes, system, web
 
 LEAVE_SECONDS = 2.5
-"""Time from the label `leaving` to SIGTERM. By then an upstream must get no new work: what it
-starts later is counted as late work."""
+"""Time from the label `leaving` to SIGTERM; requests started after it count as late work."""
 
 FABRIC_SECONDS = 0.3
-"""Time from a balancer's removal from the fabric to its SIGTERM."""
+"""Time from a balancer's removal from the callers' address lists to its SIGTERM."""
 
 STOP_SECONDS = 40.0
 
@@ -27,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service of one of the users."""
+    """A service, with the number and settings of its upstreams."""
 
     name: str
     upstreams: int
@@ -49,19 +48,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An upstream with the sidecar beside it, and the service that it is for."""
+    """An upstream with its sidecar, and the service that it belongs to."""
 
     service: Service
     sidecar: system.Sidecar
 
 
 def runs_of(counts: dict[str, typing.Any]) -> int:
-    """Return how many runs an upstream has counted."""
+    """Return the total number of runs of an upstream."""
     return sum(counts["runs"].values())
 
 
 class Fleet:
-    """All processes of the system and around it, callers apart."""
+    """All processes of a run except the callers."""
 
     def __init__(self, children: processes.Children, logs: pathlib.Path):
         self.children = children
@@ -73,7 +72,7 @@
         self.late_work = 0
 
     def publish_services(self, services: typing.Iterable[Service]) -> None:
-        """Publish the services, each with a selector of its own."""
+        """Publish the services, each with its own selector."""
         self.system.publish_services({s.name: {"app": s.name} for s in services})
 
     def add_upstream(self, service: Service, name: str, zone: str) -> None:
@@ -91,7 +90,7 @@
         self.members[name] = Member(service, sidecar)
 
     def remove_upstream(self, member: Member) -> None:
-        """Let an upstream leave: label, SIGTERM to the sidecar, then to the upstream."""
+        """Remove an upstream: label it, send SIGTERM to its sidecar, then to the upstream."""
         sidecar = member.sidecar
         labels = self.system.labels[sidecar.name]
         self.system.label(sidecar.name, {**labels, "leaving": "true"})
@@ -108,7 +107,7 @@
     def remove_balancer(
         self, balancer: system.Balancer, tell_fabric: typing.Callable[[], None]
     ) -> None:
-        """Let a balancer leave; the fabric is told before, so that no packet is lost there."""
+        """Remove a balancer; callers stop sending to it first, so that no packet is lost."""
         del self.system.balancers[balancer.name]
         self.system.enlist(balancer.name, "balancer", balancer.port, balancer.zone, "leaving")
         tell_fabric()
@@ -117,13 +116,13 @@
         self.system.enlist(balancer.name, "balancer", balancer.port, balancer.zone, "gone")
 
     def stop(self, child: processes.Child) -> None:
-        """Stop a process of the system; an exit status other than 0 is a fault."""
+        """Stop a process; a nonzero exit status is a fault."""
         status = child.stop(STOP_SECONDS)
         if status != 0:
             self.faults.append(f"{child.name} ended with status {status}")
 
     def collect(self, sidecar: system.Sidecar) -> dict[str, typing.Any]:
-        """Stop an upstream, keep what it counted and return it."""
+        """Stop an upstream, and store and return its run counts."""
         status = sidecar.upstream.stop(STOP_SECONDS)
         line = sidecar.upstream.lines[-1] if sidecar.upstream.lines else ""
         if status != 0 or not line.startswith("counts "):
@@ -132,7 +131,7 @@
         return self.counts[-1]
 
     def stop_all(self) -> None:
-        """Stop what is left, sidecars before their upstreams, and collect the counts."""
+        """Stop the remaining processes, sidecars before upstreams, and collect the run counts."""
         sidecars = [member.sidecar for member in self.members.values()]
         balancers = list(self.system.balancers.values())
         processes_left = [process.child for process in (*sidecars, *balancers)]
--- a/standins/history.py
+++ b/standins/history.py
@@ -1,4 +1,4 @@
-"""Keep every version of keyed documents, so that the platform can also answer as it once was."""
+"""Version history of keyed documents, so that the platform can serve past revisions."""
 
 import dataclasses
 import json
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Version:
-    """One value of a key; `value` is None where the key was deleted. `time` is in ms."""
+    """One version of a key; `value` is None if the key was deleted. `time` is in ms."""
 
     revision: int
     time: int
@@ -16,13 +16,16 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the value takes in an answer, about."""
+        """Approximate size of the version in a response, in bytes."""
         return len(json.dumps(self.value)) + len(self.key)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """The newest versions after a revision, oldest first, complete up to `revision`."""
+    """The newest versions after a revision, oldest first, complete up to `revision`.
+
+    `more` is set if further versions follow.
+    """
 
     revision: int
     versions: list[Version]
@@ -30,7 +33,7 @@
 
 
 class History:
-    """Number the versions of all keys in one sequence, from 1."""
+    """Versions of all keys, numbered in one sequence from 1."""
 
     def __init__(self) -> None:
         self.versions: list[Version] = []
@@ -46,7 +49,7 @@
         return self.revision
 
     def revision_at(self, time: int) -> int:
-        """Return the newest revision that is no younger than `time`."""
+        """Return the newest revision written at `time` or before."""
         revision = self.revision
         while revision and self.versions[revision - 1].time > time:
             revision -= 1
@@ -58,7 +61,7 @@
         return sorted(by_key.values(), key=lambda version: version.revision)
 
     def page(self, after: int, ceiling: int, max_bytes: int) -> Page:
-        """Return what changed after a revision, at least one version and about `max_bytes`."""
+        """Return the changes after a revision, about `max_bytes` but at least one version."""
         versions: list[Version] = []
         size = 0
         for version in self.newest(ceiling):
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -1,8 +1,8 @@
-"""Run the daemons that carry foreign flows as real processes, with everything around them.
+"""Run the daemons that carry flows as real processes on loopback.
 
-The store, the upstreams and the callers are stand-ins in this process; each machine is an address
-of the loopback range of its own. Faults come from outside: signals, the store's modes, upstreams
-that are stopped.
+The store, the upstreams and the callers are stand-ins in this process; each machine has its own
+loopback address. Faults are injected by signals, by the modes of the store and by stopping
+upstreams.
 """
 
 import collections
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ports:
-    """The ports that are the same on all machines of an installation."""
+    """The ports of an installation, the same on all of its machines."""
 
     packets: int
     ready: int
@@ -45,11 +45,10 @@
 
 
 class Reservation:
-    """Ports of one installation, kept from others until it is released.
+    """Reserves the ports of one installation until it is released.
 
-    A daemon that got one port for two purposes ended at its start, and two installations that had
-    drawn a port in common at the same moment failed in their set-up: `free_port` looks at one
-    address, which no machine has. So a socket is held there for each port.
+    `free_port` checks an address that no machine uses, so it may return the same port twice, also
+    to installations that start at the same time. A socket bound there holds each port.
     """
 
     def __init__(self) -> None:
@@ -57,7 +56,7 @@
         self.ports = Ports(*(self.reserve() for _ in dataclasses.fields(Ports)))
 
     def reserve(self) -> int:
-        """Return a port that is ours from now on."""
+        """Return a port reserved for this installation."""
         while True:
             port = system.free_port()
             with contextlib.suppress(OSError):
@@ -65,7 +64,7 @@
                 return port
 
     def release(self) -> None:
-        """Let others have the ports."""
+        """Release the ports."""
         for guard in self.guards:
             guard.close()
 
@@ -78,9 +77,9 @@
 
 @dataclasses.dataclass
 class Machine:
-    """One instance: its address, the settings of its daemon, and the process while there is one.
+    """One instance: its address, the settings of its daemon and the daemon's process.
 
-    `lines_at_start` is how long the log was when that process was started.
+    `lines_at_start` is the number of log lines before the process was started.
     """
 
     name: str
@@ -95,7 +94,7 @@
 
 
 class Installation:
-    """A whole installation on loopback; use it in a `with` block."""
+    """An installation on loopback; use it in a `with` block."""
 
     def __init__(self, directory: pathlib.Path, balancers: int = 2, upstreams: int = 3):
         self.directory = directory
@@ -147,7 +146,7 @@
         self.reservation.release()
 
     def machine(self, role: str, number: int) -> Machine:
-        """Return a machine with its settings written, and its upstream if it is a sidecar's."""
+        """Return a machine with its settings file, and with an upstream if it runs a sidecar."""
         net = 1 if role == "sidecar" else 2
         host = f"127.0.{net}.{number + 1}"
         name = f"{role}-{number + 1}"
@@ -177,7 +176,7 @@
         return made
 
     def publish(self, machine: Machine, **changes) -> None:
-        """Write the entry of an upstream into the store."""
+        """Write the store entry of an upstream."""
         body = {
             "service": SERVICE,
             "address": f"{machine.host}:{self.ports.upstream}",
@@ -209,7 +208,7 @@
             self.spawn(machine, log)
 
     def start_unread(self, machine: Machine) -> None:
-        """Start a machine's daemon with a standard output that is full and never read."""
+        """Start a machine's daemon with a full pipe that is never read as its standard output."""
         reading, writing = os.pipe()
         os.set_blocking(writing, False)
         try:
@@ -222,7 +221,7 @@
         self.unread.append(reading)
 
     def spawn(self, machine: Machine, output: typing.Any) -> None:
-        """Start a machine's daemon with this standard output."""
+        """Start a machine's daemon, with `output` as its standard output."""
         environment = {**os.environ, "EBONYSTILE_NODE_FILE": str(machine.settings)}
         environment["PYTHONPATH"] = str(ROOT / "src")
         machine.lines_at_start = len(self.lines(machine))
@@ -234,58 +233,58 @@
         )
 
     def signal(self, machine: Machine, number: int) -> None:
-        """Send a signal to a machine's daemon if it runs."""
+        """Send a signal to a machine's daemon if it is running."""
         if machine.process is not None and machine.process.poll() is None:
             machine.process.send_signal(number)
 
     def kill(self, machine: Machine) -> None:
-        """Kill a machine's daemon and wait for its end."""
+        """Kill a machine's daemon and wait for it to exit."""
         self.signal(machine, signal.SIGKILL)
         machine.process.wait(10)
 
     def stop(self, machine: Machine) -> int:
-        """Ask a machine's daemon to end; return its exit status."""
+        """Terminate a machine's daemon and return its exit status."""
         self.signal(machine, signal.SIGTERM)
         return machine.process.wait(10)
 
     def is_ready(self, machine: Machine) -> bool:
-        """Tell whether a machine's daemon says that packets may come."""
+        """Return whether a machine's daemon reports that it is ready for packets."""
         try:
             return self.page(machine, self.ports.ready, "/-/ready").status == http.HTTPStatus.OK
         except (OSError, http.client.HTTPException):
             return False
 
     def metrics(self, machine: Machine) -> dict[str, float]:
-        """Return the samples that a machine's daemon serves, by name with labels."""
+        """Return the metrics of a machine's daemon by name with labels."""
         page = self.page(machine, self.ports.metrics, "/metrics")
         lines = page.read().decode().splitlines()
         samples = [line.rpartition(" ") for line in lines if not line.startswith("#")]
         return {name: float(value) for name, _, value in samples}
 
     def page(self, machine: Machine, port: int, path: str) -> http.client.HTTPResponse:
-        """Return what a machine's daemon answers for a path."""
+        """Return the HTTP response of a machine's daemon for a path."""
         connection = http.client.HTTPConnection(machine.host, port, timeout=1)
         connection.request("GET", path, headers={"Connection": "close"})
         return connection.getresponse()
 
     def lines(self, machine: Machine) -> list[str]:
-        """Return what a machine's daemons have logged."""
+        """Return the log lines of a machine's daemons."""
         return machine.log.read_text().splitlines() if machine.log.exists() else []
 
     def has_begun(self, machine: Machine) -> bool:
-        """Tell whether a machine's present or last daemon came as far as its first line."""
+        """Return whether a machine's current or last daemon has logged its start."""
         return any("event=start " in line for line in self.lines(machine)[machine.lines_at_start :])
 
     def wait(self, done, seconds: float = START_S) -> None:
-        """Wait until something holds; raise `AssertionError` if it does not in time."""
+        """Wait until a condition holds; raise AssertionError on timeout."""
         end = time.monotonic() + seconds
         while not done():
             if time.monotonic() > end:
-                raise AssertionError(f"not in {seconds} s: {done}")
+                raise AssertionError(f"condition not met within {seconds} s: {done}")
             time.sleep(STEP_S)
 
     def caller(self, through: Machine, request: bytes = b"hello") -> ends.Caller:
-        """Begin a flow with its first request, through a balancer."""
+        """Start a caller whose flow goes through a balancer, with its first request."""
         with self.lock:
             self.next_port += 1
             flow = packet.endpoint_of("127.0.3.1", self.next_port) + packet.endpoint_of(*ROUTE)
@@ -296,21 +295,21 @@
         return made
 
     def ask(self, caller: ends.Caller, request: bytes) -> None:
-        """Let a caller send a request on its open flow."""
+        """Send a request on a caller's open flow."""
         with self.lock:
             caller.ask(request, now_ms())
 
     def answered(
         self, caller: ends.Caller, request: bytes = b"hello", seconds: float = 10
     ) -> bytes:
-        """Wait for the answer to a request and return which upstream gave it."""
+        """Wait for the answer to a request and return the name of the upstream."""
         self.wait(
             lambda: caller.answer is not None and caller.answer.endswith(b":" + request), seconds
         )
         return caller.answer.partition(b":")[0]
 
     def drive(self) -> None:
-        """Let callers send what is due and take in what comes, until the end."""
+        """Send the callers' due packets and receive packets until the installation stops."""
         while not self.ended.is_set():
             for key, _ in self.selector.select(STEP_S / 4):
                 with self.lock:
@@ -321,7 +320,7 @@
                         self.send(caller, raw)
 
     def send(self, caller: ends.Caller, raw: bytes) -> None:
-        """Send a caller's packet through its balancer."""
+        """Send a caller's packet to its balancer."""
         try:
             self.caller_socket.sendto(raw, (caller.through.host, self.ports.packets))
         except OSError:
@@ -329,7 +328,7 @@
             pass
 
     def on_caller_packet(self) -> None:
-        """Take in one packet for a caller."""
+        """Receive one packet and pass it to the callers."""
         try:
             raw = self.caller_socket.recv(65_535)
         except OSError:
@@ -339,7 +338,7 @@
                 self.send(caller, sent)
 
     def on_upstream_packet(self, machine: Machine) -> None:
-        """Take in one packet for an upstream."""
+        """Receive one packet for an upstream and send its replies."""
         try:
             raw = machine.upstream_socket.recv(65_535)
         except OSError:
@@ -356,12 +355,12 @@
                 continue
 
     def foreign(self) -> int:
-        """Return how many packets upstreams got of flows that they do not hold."""
+        """Return the number of packets that reached upstreams for flows that they do not hold."""
         return sum(sum(m.upstream.foreign.values()) for m in self.sidecars)
 
 
 def udp(address: tuple[str, int]) -> socket.socket:
-    """Return a bound UDP socket that never blocks."""
+    """Return a bound, non-blocking UDP socket."""
     made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     made.setblocking(False)
     try:
@@ -373,5 +372,5 @@
 
 
 def now_ms() -> int:
-    """Return a steady time in ms."""
+    """Return the monotonic clock in ms."""
     return time.monotonic_ns() // 1_000_000
--- a/standins/reports.py
+++ b/standins/reports.py
@@ -1,4 +1,4 @@
-"""Let an upstream's health and load reports lag, freeze or lie, as real ones do."""
+"""Health and load reports with injected faults: delayed, frozen or false."""
 
 import typing
 
@@ -6,9 +6,9 @@
 
 
 class Reporter:
-    """Answer with a report as it was `lag_ms` ago, as it was when frozen, or with a lie.
+    """Returns a report as of `lag_ms` ago or as of the freeze, with the fields of `lie` replaced.
 
-    Reports are kept as they are read, so a lagging one is exact to one reading interval.
+    Reports are stored when they are read, so the lag is exact to one read interval.
     """
 
     KEPT = 4096
@@ -20,21 +20,21 @@
         self.history: list[tuple[int, Report]] = []
 
     def tell(self, now: int, truth: Report) -> Report:
-        """Return what the upstream says at `now` when `truth` holds."""
+        """Return the report given at `now`, where `truth` is the correct one."""
         self.history.append((now, truth))
         del self.history[: -self.KEPT]
         told = self.past(now)
         return {**told, **(self.lie or {})}
 
     def past(self, now: int) -> Report:
-        """Return the newest report that is old enough to be told."""
+        """Return the newest stored report that is at least `lag_ms` old."""
         if self.frozen:
             return self.history[0][1]
         old = [report for time, report in self.history if time <= now - self.lag_ms]
         return old[-1] if old else self.history[0][1]
 
     def change(self, lag_ms: int, frozen: bool, lie: Report | None) -> None:
-        """Take over the faults that a test asks for."""
+        """Set the injected faults."""
         if frozen and not self.frozen:
             del self.history[:-1]
         self.lag_ms = lag_ms
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -9,7 +9,7 @@
 
 
 class Outcome(enum.Enum):
-    """How a request ended at the upstream."""
+    """The outcome of a request at the upstream."""
 
     DONE = "done"
     SHED = "shed"
@@ -36,10 +36,9 @@
 
 
 class Slots:
-    """Hold the jobs that wait and run, and count every start by request id.
+    """Holds waiting and running jobs, and counts every start by request id.
 
-    Starting the same request id twice is counted, not prevented: the stand-in is the witness of
-    what the system let happen.
+    A repeated start of a request id is counted, not prevented, so that tests detect it.
     """
 
     def __init__(self, slots: int, queue: int):
@@ -55,7 +54,7 @@
         self.busy_ms = 0
 
     def run(self, job: Job, service_ms: int) -> Outcome:
-        """Wait for a slot, hold it for the service time, and tell how it ended."""
+        """Wait for a slot, hold it for the service time, and return the outcome."""
         with self.condition:
             refused = self.await_slot(job)
             if refused:
@@ -70,7 +69,7 @@
                 self.condition.notify_all()
 
     def await_slot(self, job: Job) -> Outcome | None:
-        """Wait in the queue; return why the job may not start, or None when it may."""
+        """Wait in the queue; return the outcome if the job may not start, else None."""
         if self.draining or self.full():
             return Outcome.SHED
         self.waiting.append(job)
@@ -90,12 +89,12 @@
             self.condition.notify_all()
 
     def full(self) -> bool:
-        """Tell whether the queue takes no further job."""
+        """Return whether all slots and the queue are full."""
         ahead = len(self.running) + len(self.waiting)
         return ahead >= self.slots + self.queue
 
     def next_is(self, job: Job) -> bool:
-        """Tell whether a slot is free and the job is the first in the queue."""
+        """Return whether a slot is free and the job is first in the queue."""
         return len(self.running) < self.slots and self.waiting[0] is job
 
     def start(self, job: Job) -> None:
@@ -108,7 +107,7 @@
             self.non_idempotent.add(job.request)
 
     def hold(self, job: Job, until: int) -> Outcome:
-        """Hold the slot up to the end of the service time, the deadline or a cancellation."""
+        """Hold the slot until the end of the service time, the deadline or a cancellation."""
         while True:
             now = web.now_ms()
             if job.cancelled:
@@ -120,7 +119,7 @@
             self.condition.wait((min(until, job.deadline) - now) / 1000)
 
     def cancel(self, request: str) -> str:
-        """Cancel every job of the request; tell where it was: waiting, running or unknown."""
+        """Cancel all jobs of a request; return "waiting", "running" or "unknown"."""
         with self.condition:
             jobs = [j for j in (*self.waiting, *self.running) if j.request == request]
             for job in jobs:
@@ -131,7 +130,7 @@
         return "running" if any(j.started for j in jobs) else "waiting"
 
     def drain(self) -> None:
-        """Start nothing new from now on; what waits is shed, what runs finishes."""
+        """Start no further jobs; shed the waiting ones and let the running ones finish."""
         with self.condition:
             self.draining = True
             self.condition.notify_all()
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,4 +1,4 @@
-"""Compare what callers were told with what the upstreams counted."""
+"""Compare the results recorded by callers with the run counts of the upstreams."""
 
 import collections
 import dataclasses
@@ -12,14 +12,14 @@
     "untrue_refusals",
     "wrong_answers",
 )
-"""What must be zero for the promises to hold."""
+"""Counters that are zero if every guarantee holds."""
 
 Document = dict[str, typing.Any]
 
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """The figures of one run; `faults` names each broken promise."""
+    """The results of one run; `faults` describes each violation."""
 
     broken_flows: int = 0
     lost: int = 0
@@ -38,12 +38,12 @@
 
     @property
     def kept(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether every guarantee holds."""
         return not any(getattr(self, name) for name in PROMISES)
 
 
 def judge(records: list[Document], counts: list[Document]) -> Verdict:
-    """Return the verdict on callers' records, given every upstream's counts."""
+    """Return the verdict from the callers' records and all upstreams' counts."""
     verdict = Verdict()
     runs: collections.Counter[str] = collections.Counter()
     for count in counts:
@@ -61,7 +61,7 @@
 def judge_errand(
     verdict: Verdict, service: str, errand: Document, runs: collections.Counter[str]
 ) -> None:
-    """Judge one thing that was to be done once, over all its tries."""
+    """Check one request, over all of its attempts."""
     tries = errand["tries"]
     name = f"{service} {errand['kind']} {tries[-1]['request']}"
     verdict.requests += len(tries)
@@ -85,7 +85,7 @@
 
 
 def judge_session(verdict: Verdict, service: str, session: Document) -> None:
-    """Judge one flow: it is broken if it lost its home, its feed or the word on a request."""
+    """Check one flow: it is broken if it was reopened, or lost its feed or a request's outcome."""
     verdict.flows += 1
     verdict.feed_events += session["feed_events"]
     verdict.feed_delay_ms_max = max(verdict.feed_delay_ms_max, session["latest_ms"])
@@ -95,7 +95,7 @@
 
 
 def latencies(records: list[Document]) -> dict[str, dict[str, int]]:
-    """Return for each kind of request the time to its answer in ms, retries included."""
+    """Return latency percentiles in ms for each kind of request, retries included."""
     taken = collections.defaultdict(list)
     for record in records:
         for errand in record["errands"]:
@@ -113,7 +113,7 @@
 
 
 def imbalance(samples: dict[str, dict[str, int]]) -> dict[str, float]:
-    """Return for each service the busiest upstream's share of work over the mean."""
+    """Return for each service the ratio of the busiest upstream's work to the mean."""
     found = {}
     for service, work in samples.items():
         mean = sum(work.values()) / len(work) if work else 0
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 on loopback for the stand-ins: keep-alive, bounded bodies, one route table."""
+"""HTTP/1.1 server of the stand-ins, on loopback, with keep-alive and bounded request bodies."""
 
 import argparse
 import dataclasses
@@ -12,7 +12,7 @@
 import urllib.parse
 
 MAX_BODY = 32 << 20
-"""Largest request body in bytes; a photo of some MB fits several times over."""
+"""Maximum size of a request body."""
 
 
 def now_ms() -> int:
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Query:
-    """One HTTP request, read whole. `path` has no leading slash; header names are lower case."""
+    """A complete HTTP request. `path` has no leading slash; header names are lower case."""
 
     method: str
     path: str
@@ -31,17 +31,17 @@
     body: bytes
 
     def number(self, name: str, default: int) -> int:
-        """Return a whole number of the query string; raise ValueError for anything else."""
+        """Return an integer query parameter; raise ValueError if it is malformed."""
         return int(self.parameters.get(name, default))
 
     def json(self) -> typing.Any:
-        """Return the body as parsed JSON; raise ValueError where it is none."""
+        """Return the body parsed as JSON; raise ValueError if it is malformed."""
         return json.loads(self.body)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """One HTTP answer. With `cut` the connection is closed with nothing said."""
+    """An HTTP response. With `cut` the connection is closed without a response."""
 
     status: int = 200
     body: bytes = b""
@@ -51,20 +51,20 @@
 
 
 def json_answer(value: typing.Any, status: int = 200, **headers: str) -> Answer:
-    """Return an answer that carries `value` as JSON."""
+    """Return a response with `value` as JSON."""
     named = {name.replace("_", "-"): text for name, text in headers.items()}
     return Answer(status, json.dumps(value).encode(), headers=named)
 
 
 class App(typing.Protocol):
-    """What a stand-in gives the server: one method that answers every query."""
+    """The application that a server runs."""
 
     def answer(self, query: Query) -> Answer:
-        """Answer one query; called in a thread of its own, possibly for a long time."""
+        """Return the response to a request; called in the thread of its connection, may block."""
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Read one query after another from a connection and write the answers."""
+    """Reads requests from a connection and writes the responses."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -72,7 +72,7 @@
     server: "Server"
 
     def exchange(self) -> None:
-        """Read the query, have the app answer it, write the answer."""
+        """Read a request, pass it to the app and write the response."""
         try:
             length = int(self.headers.get("Content-Length", "0"))
         except ValueError:
@@ -91,7 +91,7 @@
             self.wfile.flush()
 
     def answer(self, body: bytes) -> Answer:
-        """Have the app answer; a malformed number or document is the asker's fault."""
+        """Return the app's response, or status 400 for a malformed number or document."""
         path, _, text = self.path.partition("?")
         parameters = dict(urllib.parse.parse_qsl(text))
         headers = {name.lower(): value for name, value in self.headers.items()}
@@ -104,7 +104,7 @@
             return json_answer({"error": repr(error)}, 400, X_Not_Run="1")
 
     def write(self, answer: Answer) -> None:
-        """Write the answer, or close the connection where it says so."""
+        """Write a response, or close the connection if it is `cut`."""
         if answer.cut:
             self.close_connection = True
             return
@@ -123,11 +123,11 @@
     do_GET = do_POST = do_DELETE = exchange  # noqa: N815 (names that http.server looks up)
 
     def log_message(self, format: str, *args: typing.Any) -> None:
-        """Write no log line for each query."""
+        """Suppress the request log."""
 
 
 class Exchanges:
-    """Count the exchanges under way, so that a stop can wait for the last answer."""
+    """Counts requests in progress, so that a stop can wait for the last response."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
@@ -143,13 +143,13 @@
             self.condition.notify_all()
 
     def wait_none(self, seconds: float) -> bool:
-        """Wait until none is under way; tell whether that came about."""
+        """Wait until no request is in progress; return False on timeout."""
         with self.condition:
             return self.condition.wait_for(lambda: self.count == 0, seconds)
 
 
 class Server(http.server.ThreadingHTTPServer):
-    """Serve one app; `connections` counts the open connections."""
+    """Serves one app; `connections` is the number of open connections."""
 
     daemon_threads = True
     request_queue_size = 256
@@ -163,12 +163,12 @@
         super().__init__(("127.0.0.1", port), Handler)
 
     def server_bind(self) -> None:
-        """Bind without the name look-up that HTTPServer makes, which can take seconds."""
+        """Bind without the reverse DNS lookup of HTTPServer, which can take seconds."""
         socketserver.TCPServer.server_bind(self)
         self.server_name, self.server_port = self.server_address[:2]
 
     def process_request_thread(self, request: typing.Any, client_address: typing.Any) -> None:
-        """Count the connection for as long as it is open."""
+        """Count the connection while it is open."""
         with self.connections_lock:
             self.connections += 1
         try:
@@ -178,19 +178,19 @@
                 self.connections -= 1
 
     def handle_error(self, request: typing.Any, client_address: typing.Any) -> None:
-        """Stay silent: a peer that goes away in mid-exchange is nothing unusual."""
+        """Log nothing: clients may close the connection during a request."""
 
 
 def port_option(parser: argparse.ArgumentParser) -> None:
-    """Add the option that every stand-in has."""
-    parser.add_argument("--port", type=int, default=0, help="TCP port; 0 takes a free one")
+    """Add the `--port` option, common to all stand-ins."""
+    parser.add_argument("--port", type=int, default=0, help="TCP port; 0 picks a free one")
 
 
 def serve(server: Server, on_stop: typing.Callable[[], None], patience_ms: int) -> bool:
-    """Serve until SIGTERM or SIGINT, then let what is under way finish.
+    """Serve until SIGTERM or SIGINT, then let requests in progress finish.
 
-    Print `ready port=...` once connections are accepted. Return whether everything finished
-    within `patience_ms` of the signal.
+    Print `ready port=...` once connections are accepted. Return whether all requests finished
+    in time: `patience_ms` before the server stops listening, and again after it.
     """
     signalled = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tests/standins/test_demo.py
+++ b/tests/standins/test_demo.py
@@ -1,4 +1,4 @@
-"""Run the demo small: one service of two upstreams, all of it replaced while callers go on."""
+"""Replacing all upstreams and balancers of a service under load violates no guarantee."""
 
 import json
 import os
@@ -37,7 +37,7 @@
 
 
 def group_lives(group):
-    """Tell whether a process of the group is left."""
+    """Return whether a process of the group is still running."""
     try:
         os.killpg(group, 0)
     except ProcessLookupError:
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""Check the platform stand-in through the client that the daemons use."""
+"""The platform stand-in, read through the daemons' platform client."""
 
 import concurrent.futures
 import threading
@@ -82,7 +82,7 @@
 
 
 def test_stale_and_older_answers_show_lower_revisions(child, platform):
-    """A stale replica answers a reader that is ahead of it: a lower revision and no values."""
+    """A stale replica returns a lower revision and no values to a reader that is ahead of it."""
     for n in range(3):
         processes.publish_value(child, "labels/0", {"n": n})
     child.post("standin/mode", {"mode": "stale", "revision": 2})
--- a/tests/standins/test_upstream.py
+++ b/tests/standins/test_upstream.py
@@ -1,4 +1,4 @@
-"""Check that the upstream stand-in behaves as docs/UPSTREAM.md says real ones do."""
+"""The upstream stand-in follows docs/UPSTREAM.md."""
 
 import concurrent.futures
 import os
@@ -19,13 +19,13 @@
 
 
 def wait_for(condition):
-    """Wait, bounded, until a condition holds that another process brings about."""
+    """Wait until a condition holds; raise AssertionError on timeout."""
     pause = threading.Event()
     for _ in range(3000):
         if condition():
             return
         pause.wait(0.01)
-    raise AssertionError("it did not come about")
+    raise AssertionError("condition not met in time")
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def busy(children, executor):
-    """One slot, taken by a long request, and one place in the queue."""
+    """Start an upstream with one slot, taken by a long request, and a queue of one."""
     child = children.start_upstream("u-1", "s", "--slots", 1, "--queue", 1, "--service-ms", LONG_MS)
     upstream = client.make_upstream(child.url, 8)
     job = make_job()
@@ -46,7 +46,7 @@
 
 
 def fault_of(answer):
-    """Return the error that a run ended with."""
+    """Return the UpstreamError that a run raised."""
     error = answer.exception(timeout=30)
     assert isinstance(error, errors.UpstreamError)
     return error
@@ -90,7 +90,7 @@
 
 
 def test_drain_finishes_what_runs_and_starts_nothing(children, executor):
-    """An upgrade: SIGTERM while a request runs. The caller gets the whole answer, then exit 0."""
+    """On SIGTERM the running request is answered completely, then the exit status is 0."""
     child = children.start_upstream("u-1", "s", "--slots", 1, "--service-ms", 700)
     upstream = client.make_upstream(child.url, 4)
     job = make_job()
@@ -157,7 +157,7 @@
 
 
 def test_a_request_that_is_sent_twice_is_counted_twice(children):
-    """The stand-in is the witness: it must show a doubled report, not hide it."""
+    """Tests rely on the counts to detect a request that ran twice."""
     child = children.start_upstream("u-1", "s", "--service-ms", 0)
     upstream = client.make_upstream(child.url, 2)
     job = make_job()
--- a/tests/standins/test_verdict.py
+++ b/tests/standins/test_verdict.py
@@ -1,4 +1,4 @@
-"""Check that the demo's judge sees every kind of broken promise: it must be able to fail."""
+"""The demo's verdict detects every kind of violation."""
 
 import pytest
 
