--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -304,7 +304,7 @@
 
 
 def is_returning(known: flows.Flow, message: transfer.Transfer) -> bool:
-    """Return whether the transfer comes from a home that took the flow over from here."""
+    """Return whether the transfer brings back a flow that was handed over from here."""
     return view.unpack_token(known.token).incarnation in message.answers_for
 
 
--- a/src/ebonystile/core/calls/ledger.py
+++ b/src/ebonystile/core/calls/ledger.py
@@ -106,7 +106,7 @@
         if not requests:
             del self.by_flow[entry.flow]
 
-    def hold_answer(self, entry: Entry, answer: bytes, body: bytes) -> None:
+    def set_answer(self, entry: Entry, answer: bytes, body: bytes) -> None:
         """Set the answer id and body of a record; both are empty once delivered."""
         self.answer_bytes += len(body) - len(entry.body)
         entry.answer_id = answer
@@ -114,7 +114,7 @@
 
     def expire(self, now: int) -> list[Entry]:
         """Remove and return the expired records; those of pending requests stay."""
-        over = []
+        expired = []
         while self.expiries and self.expiries[0][0] <= now:
             _, key = heapq.heappop(self.expiries)
             entry = self.entries.get(key)
@@ -124,9 +124,9 @@
                 heapq.heappush(self.expiries, (max(entry.keep_until, now + self.margin), key))
                 continue
             self.remove(entry)
-            over.append(entry)
+            expired.append(entry)
         self.forgotten_before = max(self.forgotten_before, now - self.margin)
-        return over
+        return expired
 
 
 def make_tombstone(
--- a/src/ebonystile/core/calls/requests.py
+++ b/src/ebonystile/core/calls/requests.py
@@ -8,7 +8,7 @@
 ANSWER_ID_BYTES = 8
 
 MIN_RETRY_MS = 100
-"""Shortest retry delay given to a refused caller, in ms."""
+"""Minimum retry delay of a refused caller, in ms."""
 
 
 def unrecorded_outcome(
@@ -275,7 +275,7 @@
     else:
         entry.state = ledger.RequestState.ANSWERED
         answer = state.randomness.randbytes(ANSWER_ID_BYTES)
-        state.ledger.hold_answer(entry, answer, event.body)
+        state.ledger.set_answer(entry, answer, event.body)
         entry.status = event.status
         entry.keep_until = max(entry.keep_until, now + state.limits.ledger_margin_ms)
         state.trace("answered", entry.flow, entry.request, status=event.status)
@@ -385,7 +385,7 @@
     if entry is None or entry.state is not ledger.RequestState.ANSWERED:
         return
     if message.position == part_count(entry):
-        state.ledger.hold_answer(entry, b"", b"")
+        state.ledger.set_answer(entry, b"", b"")
 
 
 def part_count(entry: ledger.Entry) -> int:
--- a/src/ebonystile/core/calls/sidecar.py
+++ b/src/ebonystile/core/calls/sidecar.py
@@ -171,7 +171,7 @@
 
 
 def leave(state: sidecar_state.SidecarState, reason: str, now: int) -> None:
-    """Refuse new and queued requests from now on; running requests go on."""
+    """Refuse new and queued requests from now on; running requests continue."""
     if state.leaving_reason:
         return
     state.leaving_reason = f"the upstream is leaving: {reason}"
--- a/src/ebonystile/core/control/catching_up.py
+++ b/src/ebonystile/core/control/catching_up.py
@@ -5,7 +5,7 @@
 - platform down: the answer of one peer that has itself caught up is enough;
 - platform answers an older revision than the peers: the peers' revision is taken;
 - all peers behind the platform: the platform's revision is taken and distributed;
-- no peer answers: the platform's answer is enough once the peers' time to answer is over;
+- no peer answers: the platform's answer is enough once the round has timed out;
 - neither answers: the process does not serve, and asks again.
 """
 
@@ -55,9 +55,9 @@
 def on_tick(state: gossip_state.GossipState, now: int) -> None:
     """Finish once there are enough answers, or start another round.
 
-    The process goes on waiting while a peer that answered is ahead, since callers may already
+    The process keeps waiting while a peer that answered is ahead, since callers may already
     depend on the newer configuration. A peer that dies does not answer the next round, so it
-    cannot block the process for good.
+    cannot block the process forever.
     """
     catch_up = state.catch_up
     if catch_up is None:
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -119,9 +119,9 @@
     if state.view_changed and state.is_caught_up:
         state.view_changed = False
         state.pending.append(gossip_state.ViewInForce())
-    taken = state.pending
+    pending_effects = state.pending
     state.pending = []
-    return taken
+    return pending_effects
 
 
 def detect_pause(state: gossip_state.GossipState, now: int) -> None:
--- a/src/ebonystile/core/control/membership.py
+++ b/src/ebonystile/core/control/membership.py
@@ -149,7 +149,7 @@
     def validity_ms(self, statement: Statement) -> int:
         """Return how long a statement is valid unless it is received again.
 
-        It is shorter for a process that is not listed, since no list will show that it has gone.
+        It is shorter for an unlisted process, whose end the platform's list will not show.
         """
         if statement.state is MemberState.SUSPECT:
             return self.limits.suspect_timeout_ms
@@ -157,7 +157,7 @@
         return self.limits.listed_ttl_ms if listed else self.limits.unlisted_ttl_ms
 
     def mark_gone(self, name: str, now: int) -> None:
-        """Mark a process as dead that the list shows as gone.
+        """Mark a process as dead after the platform's list has shown it as gone.
 
         It is not removed: updates that are still in circulation would put a stopped upstream back
         into the view. A dead member comes back only by a statement of a higher generation.
