--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -1,6 +1,6 @@
-"""Play every fault at every step, and pairs of faults, and write docs/FAULT-MATRIX.md.
+"""Inject every fault at every step, and pairs of faults, and write docs/FAULT-MATRIX.md.
 
-The exit status is 1 if a fault is found that KNOWN-RED.txt does not list.
+The exit status is 1 if a violation is found that KNOWN-RED.txt does not list.
 """
 
 import argparse
@@ -43,8 +43,8 @@
 
 @functools.singledispatch
 def play(case: typing.Any) -> tuple[bool, list[str]]:
-    """Play a case; return whether all of its faults struck, and what was found."""
-    raise TypeError(f"no rule for {type(case).__name__}")
+    """Run a case; return whether all of its faults were injected, and the violations found."""
+    raise TypeError(f"unsupported case type: {type(case).__name__}")
 
 
 @play.register
@@ -62,13 +62,13 @@
 def play_all(
     cases: list[matrix.Case | carrying.Case], workers: int
 ) -> list[tuple[bool, list[str]]]:
-    """Play cases in several processes, in order."""
+    """Run cases in several processes and return their results in order."""
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         return list(pool.map(play, cases, chunksize=16))
 
 
 class Table:
-    """The cells of the matrix: cases, those that struck, and those that found a fault."""
+    """Counts per cell: cases, those whose faults were injected, and those with violations."""
 
     def __init__(self):
         self.played = collections.Counter()
@@ -79,7 +79,7 @@
     def add(
         self, cell: str, case: matrix.Case | carrying.Case, struck: bool, faults: list[str]
     ) -> None:
-        """Count one case."""
+        """Count a case."""
         self.played[cell] += 1
         self.struck[cell] += struck
         if faults:
@@ -87,7 +87,7 @@
             self.lines.append(f"{cell} (seed {case.seed}): {'; '.join(faults)}")
 
     def text(self, cell: str) -> str:
-        """Return what stands in a cell; a dash where the fault cannot befall the step."""
+        """Return the text of a cell; a dash if the fault does not apply to the step."""
         if not self.played[cell]:
             return "-"
         return f"{self.struck[cell]}/{self.bad[cell]}"
@@ -121,7 +121,7 @@
     faults: typing.Sequence[str],
     part: str = "",
 ) -> list[str]:
-    """Return one table of every fault at every step; `part` begins the names of its cells."""
+    """Return a table of every fault at every step; `part` is the prefix of its cell names."""
     lines = [f"## {heading}", "", "| fault | " + " | ".join(steps) + " |"]
     lines.append("|---" * (len(steps) + 1) + "|")
     for fault in faults:
@@ -143,7 +143,7 @@
 
 
 def main() -> int:
-    """Play, write the page, and judge."""
+    """Run all cases and write the page; return 1 if there are new violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=4, help="seeds of each cell")
     parser.add_argument("--pair-seeds", type=int, default=6, help="seeds of each pair")
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -1,8 +1,8 @@
-"""Put every fault at every step of one working day of flows, and check what must always hold.
+"""Inject every fault at every step of a scenario of flows, and check invariants.
 
-A case is a step, a fault and a seed; it plays the same `Day` on the cores, joined by the wire of
-`tests/wire.py`, with the fault put where the step happens for the n-th time (n from the seed).
-Times in ms; the limits are shorter than in production so that every deadline passes in a case.
+A case is a list of steps with faults and a seed. It runs the same `Scenario` on the cores,
+connected by `tests/wire.py`, and each fault is injected when its step happens for the n-th time
+(n from the seed). Times are in ms; limits are short enough for every deadline to pass in a case.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 PHOTOS = "photos"
 DEADLINE = 3_000
 LONG = 4_500
-"""Longer than any deadline and every margin of a case."""
+"""Longer than any deadline of a case with its margin."""
 
 LIMITS = {
     "slots": 2,
@@ -87,24 +87,24 @@
         "configuration spread",
     }
 )
-"""Steps that happen only once or twice in a day."""
+"""Steps that happen only once or twice in a scenario."""
 
 TEST_SEEDS = 2
-"""Seeds of each cell in the tests; `scripts/fault-matrix` plays more."""
+"""Seeds of each cell in the tests; `scripts/fault-matrix` runs more."""
 
 RUNNING_MS = 30
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One case: `puts` are (step, fault) pairs."""
+    """A case: `puts` are (step, fault) pairs."""
 
     puts: tuple[tuple[str, str], ...]
     seed: int
 
 
 class Day:
-    """One day: callers ask, an upstream drains and goes, another comes, and faults strike."""
+    """A run in which callers send requests, an upstream is replaced and faults are injected."""
 
     def __init__(self, case: Case):
         self.case = case
@@ -141,11 +141,11 @@
         return self.started[-1]
 
     def home(self, name: str) -> wires.SidecarProcess | None:
-        """Return a living home by name."""
+        """Return a running sidecar by name."""
         return next((h for h in self.wire.sidecars.values() if h.name == name), None)
 
     def publish(self, at_once: bool = False) -> None:
-        """Publish what the labels and the list say; it spreads unevenly."""
+        """Publish labels and instances; processes receive them at different times."""
         members = {
             service: [h for h in self.wire.sidecars.values() if service in self.labels[h.name]]
             for service in (wires.SERVICE, PHOTOS)
@@ -159,17 +159,17 @@
         self.on_step("configuration spread", self.busiest(), True)
 
     def busiest(self) -> wires.SidecarProcess:
-        """Return the home of the first caller's flow, or any other."""
+        """Return the home of the first caller's flow, or else any sidecar."""
         flow = self.callers[0].flow if self.callers else b""
         homes = list(self.wire.sidecars.values()) or self.started
         held = [h for h in homes if h.core and flow in h.core.flows]
         serving = [h for h in held if not h.core.flows[flow].is_fenced]
         return (serving or held or homes)[0]
 
-    # The day
+    # The scenario
 
     def play(self) -> list[str]:
-        """Play the whole day and return the faults found."""
+        """Run the scenario and return the violations found."""
         wire = self.wire
         wire.schedule_every(500, wire.confirm)
         wire.schedule_every(50, self.collect)
@@ -204,7 +204,7 @@
             wire.schedule(delay, action)
         wire.run(ACTIVE_MS)
         self.heal()
-        # The home of this flow may be lost; the caller learns it now, once.
+        # The home of this flow may be lost: the caller notices with this request, which may fail.
         self.ask(fourth, "report")
         wire.run(SETTLE_MS)
         seen = first.subscriptions[feed].position
@@ -219,7 +219,7 @@
         return self.checks.check_at_end()
 
     def check_living(self, probes: tuple[bytes, ...], moved: int) -> None:
-        """Once every fault is over, requests are answered and feeds go on."""
+        """Check that requests are answered and feeds continue after the last fault."""
         if not any(h.core and h.core.can_start(wires.SERVICE) for h in self.wire.sidecars.values()):
             return
         for result in (self.checks.requests[probe].result for probe in probes):
@@ -231,21 +231,21 @@
             self.checks.add_violation("healed, but the feed has stopped")
 
     def ask(self, caller: call.Call, path: str, *, size: int = 0, idempotent: bool = False):
-        """Send a request with a body of its own."""
+        """Send a request with a unique body."""
         if caller.closed:
             return None
         body = b"%d:%s " % (len(self.checks.requests), path.encode()) + b"x" * size
         return self.send(caller, path, body, idempotent)
 
     def send(self, caller: call.Call, path: str, body: bytes, idempotent: bool) -> bytes:
-        """Send a request and remember it."""
+        """Send a request and record it for the checks."""
         now = self.caller_clock(caller)
         request = caller.request(path, body, now + DEADLINE, idempotent, now)
         self.checks.record_request(caller, request, body, path, idempotent)
         return request
 
     def caller_clock(self, caller: call.Call) -> int:
-        """Return what the caller's clock says."""
+        """Return the time on the caller's clock."""
         address = next(a for a, c in self.wire.callers.items() if c is caller)
         return self.wire.caller_clock(address)
 
@@ -255,13 +255,13 @@
         self.wire.schedule(120, lambda: caller.cancel(request, self.caller_clock(caller)))
 
     def settle_some(self) -> None:
-        """Settle everything that has no word yet."""
+        """Settle all requests without an outcome that are not idempotent."""
         for request, asked in self.checks.requests.items():
             if asked.result is None and not asked.idempotent:
                 asked.caller.settle(request, self.caller_clock(asked.caller))
 
     def collect(self) -> None:
-        """Take final words; send again, under a new id, what surely was not run."""
+        """Record outcomes; resend requests that were not run, under a new id."""
         for caller in self.callers:
             for result in caller.outcomes:
                 asked = self.checks.requests[result.request]
@@ -279,12 +279,12 @@
             caller.outcomes.clear()
 
     def send_again(self, caller, path: str, body: bytes, idempotent: bool) -> None:
-        """Send a request that was not run as a new one."""
+        """Resend a request that was not run, as a new one."""
         if not caller.closed and self.wire.now - wires.START < ACTIVE_MS:
             self.send(caller, path, body, idempotent)
 
     def begin_drain(self) -> None:
-        """Let the home of the first flow leave, as the nightly upgrade does."""
+        """Start draining the home of the first flow, as a rolling upgrade does."""
         self.leaver = self.busiest()
         self.leave(self.leaver)
 
@@ -296,7 +296,7 @@
         self.publish()
 
     def stay(self, name: str) -> None:
-        """Take back that an instance leaves, whichever process it runs by now."""
+        """Unmark a leaving instance, also if its process was restarted."""
         self.leaving.discard(name)
         for home in self.wire.sidecars.values():
             if home.name == name:
@@ -304,7 +304,7 @@
         self.publish()
 
     def end_drained(self) -> None:
-        """Let the leaver go once it is drained; a planned stop waits for its running requests."""
+        """Stop the leaving sidecar once it is drained and has no running requests."""
         home = self.leaver
         if self.homes_core(home) is None:
             return
@@ -317,11 +317,11 @@
                 self.wire.schedule(200, self.end_drained)
 
     def homes_core(self, home: wires.SidecarProcess):
-        """Return the core if that very process still runs at its address."""
+        """Return the core, or None if the process no longer runs at its address."""
         return home.core if self.wire.sidecars.get(home.address) is home else None
 
     def end(self, home: wires.SidecarProcess) -> None:
-        """End a process and take it out of the list."""
+        """Kill a process and unmark its instance."""
         self.wire.kill(home)
         self.leaving.discard(home.name)
 
@@ -333,21 +333,21 @@
     # Faults
 
     def message_delays(self, source, target, kind: str) -> list[int]:
-        """Return the delays of a message, as the faults in force want them."""
+        """Return the delays of a message under the active faults."""
         delays = [wires.HOP_MS]
         for put in self.armed:
             delays = put.on_message(source, target, kind, delays)
         return delays
 
     def run_delays(self, home: wires.SidecarProcess) -> list[int]:
-        """Return the delay of the exchange that hands a request to an upstream."""
+        """Return the delays of delivering a request to an upstream."""
         for put in self.armed:
             if put.step == "handed to the upstream" and put.fault in PACKET_FAULTS and put.due():
                 return {"loss": [], "loss for long": [], "long delay": [LONG]}.get(put.fault, [40])
         return [wires.HOP_MS]
 
     def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
-        """Let the faults strike that wait for a step."""
+        """Inject the faults that are armed for a step."""
         for put in self.armed:
             put.on_step(step, home, after)
 
@@ -366,7 +366,7 @@
 
 
 class Put:
-    """One fault, waiting for its step to happen for the n-th time."""
+    """A fault, injected when its step happens for the n-th time."""
 
     def __init__(self, day: Day, step: str, fault: str):
         self.day = day
@@ -378,7 +378,7 @@
         self.until = 0
 
     def due(self) -> bool:
-        """Whether this is the occurrence to strike at; counts it."""
+        """Count an occurrence of the step and return whether to inject the fault now."""
         if self.done or self.over:
             return False
         if self.skip:
@@ -389,7 +389,7 @@
         return True
 
     def on_message(self, source, target, kind: str, delays: list[int]) -> list[int]:
-        """Change the delays of a message, or strike a process when it is sent."""
+        """Return the changed delays of a message, or inject a process fault when it is sent."""
         if PACKETS.get(self.step) != kind:
             return delays
         wire = self.day.wire
@@ -407,7 +407,7 @@
         return PACKET_FAULTS[self.fault](delays)
 
     def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
-        """Strike at a step that a sidecar takes."""
+        """Inject the fault at a step of a sidecar."""
         if self.fault in PACKET_FAULTS:
             return
         if TRACES.get(self.step) == step or self.step == step:
@@ -423,12 +423,12 @@
             self.on_accepted(home, after)
 
     def on_accepted(self, home: wires.SidecarProcess, after: bool) -> None:
-        """Strike when a sidecar has acted by a newer view."""
+        """Inject the fault when a sidecar acts on a newer view."""
         if after == self.fault.endswith("after") and self.due():
             self.strike(home, None, None)
 
     def strike(self, home: wires.SidecarProcess, source, target) -> None:
-        """Bring the fault about."""
+        """Apply the process fault."""
         PROCESS_FAULTS[self.fault](self.day, home, source, target)
 
 
@@ -440,11 +440,11 @@
     "long delay": lambda delays: [LONG],
     "late duplicate": lambda delays: [*delays, LONG],
 }
-"""What becomes of the message that is the step."""
+"""Maps the delays of the affected message to its delays under the fault."""
 
 
 def kill_sidecar(day: Day, home, source, target) -> None:
-    """Kill a sidecar; its instance comes back at the same address as a new incarnation."""
+    """Kill a sidecar; it restarts at the same address as a new incarnation."""
     if day.homes_core(home) is None:
         return
     day.wire.kill(home)
@@ -452,7 +452,7 @@
 
 
 def restart(day: Day, home: wires.SidecarProcess) -> None:
-    """Start an instance again at its address, unless another has it."""
+    """Restart an instance at its address, unless the address is taken."""
     if home.address not in day.wire.sidecars:
         again = day.wire.add_sidecar(
             home.name, home.address[1], offset=day.rng.choice([0, 400, -400])
@@ -463,7 +463,7 @@
 
 
 def kill_for_good(day: Day, home, source, target) -> None:
-    """Kill a sidecar that never comes back; the list learns of it late."""
+    """Kill a sidecar for good; the list is updated late."""
     if day.homes_core(home) is not None:
         day.wire.kill(home)
         day.leaving.discard(home.name)
@@ -481,18 +481,18 @@
 
 
 def kill_upstream(day: Day, home, source, target) -> None:
-    """Kill the upstream beside a sidecar; it comes back."""
+    """Kill the upstream of a sidecar; it restarts after a while."""
     if day.homes_core(home) is not None:
         day.wire.kill_upstream(home, 800)
 
 
 def pause(day: Day, home, source, target, duration: int = LONG) -> None:
-    """Stop a sidecar past every deadline; it wakes with its old view."""
+    """Pause a sidecar for longer than any deadline; it resumes with its old view."""
     day.wire.pause(home, duration)
 
 
 def short_pause(day: Day, home, source, target) -> None:
-    """Stop a sidecar for less than the deadlines."""
+    """Pause a sidecar for less than the deadlines."""
     pause(day, home, source, target, 1_200)
 
 
@@ -515,57 +515,57 @@
 
 
 def cut_off(day: Day, home, source, target) -> None:
-    """Cut a sidecar off from every other process, both ways."""
+    """Block all messages between a sidecar and the other processes."""
     for other in [*others(day, home), *day.wire.balancers, "platform"]:
         day.wire.block(home.address, other, 2_500)
         day.wire.block(other, home.address, 2_500)
 
 
 def cut_inward(day: Day, home, source, target) -> None:
-    """Let nothing reach a sidecar; what it sends passes."""
+    """Block all messages to a sidecar."""
     for other in [*others(day, home), *day.wire.balancers, "platform"]:
         day.wire.block(other, home.address, 2_500)
 
 
 def cut_outward(day: Day, home, source, target) -> None:
-    """Let nothing that a sidecar sends pass."""
+    """Block all messages from a sidecar to other sidecars and to balancers."""
     for other in [*others(day, home), *day.wire.balancers]:
         day.wire.block(home.address, other, 2_500)
 
 
 def cut_siblings(day: Day, home, source, target) -> None:
-    """Cut the sidecars off from one another, past the handover's deadline."""
+    """Block messages between sidecars for longer than the handover timeout."""
     for one, other in itertools.permutations(list(day.wire.sidecars), 2):
         day.wire.block(one, other, 3_200)
 
 
 def platform_down(day: Day, home, source, target) -> None:
-    """Let the platform answer nobody until the end of the active part."""
+    """Make the platform unreachable until the faults are healed."""
     day.wire.platform_down = True
 
 
 def platform_stale(day: Day, home, source, target) -> None:
-    """Let one sidecar go on with its old view."""
+    """Keep one sidecar on its old view."""
     home.stale = True
 
 
 def platform_older(day: Day, home, source, target) -> None:
-    """Let the platform answer with its first revision, to everyone."""
+    """Let the platform return its first revision to all processes."""
     for part in [*day.wire.sidecars.values(), *day.wire.balancers.values()]:
         day.wire.show_view(part, day.wire.views[0])
 
 
 def list_lags(day: Day, home, source, target) -> None:
-    """List an instance that has gone: it leaves without the list knowing."""
+    """Make an instance leave that the list still shows as live."""
     if day.homes_core(home) is not None:
         day.wire.post(home, events.Leave("SIGTERM"))
 
 
 def move_service(day: Day, home, source, target) -> None:
-    """Let the operator's selector move an upstream to the other service.
+    """Move an upstream to the other service by its label.
 
-    Past the bound the old service's requests must not run there, unless the platform could not be
-    heard; a process that was paused meanwhile has no such excuse.
+    After `LEAVE_BOUND_MS` it must not run requests of the old service, unless the platform was
+    unreachable or the view stale; a pause of the process is no exception.
     """
     day.labels[home.name] = {PHOTOS}
     home.served_services.add(PHOTOS)
@@ -598,7 +598,7 @@
 
 
 def leave_and_stay(day: Day, home, source, target) -> None:
-    """Mark an upstream as leaving, and take that back soon."""
+    """Mark an upstream as leaving and unmark it soon after."""
     day.leave(home)
 
     def stay():
@@ -620,12 +620,12 @@
 
 
 def clocks_apart(day: Day, home, source, target) -> None:
-    """Let one sidecar's clock leap ahead, as after a suspended machine."""
+    """Move one sidecar's clock ahead, as after a suspend of the machine."""
     home.clock_offset += 1_500
 
 
 def caller_clock_behind(day: Day, home, source, target) -> None:
-    """Let callers' clocks fall behind those of the system."""
+    """Set the callers' clocks behind those of the other processes."""
     for address in day.wire.callers:
         day.wire.caller_clock_offsets[address] = -400
 
@@ -658,7 +658,7 @@
     "clock leaps after": clocks_apart,
     "callers' clocks behind after": caller_clock_behind,
 }
-"""What strikes a process: before the step's effects are carried out, or after."""
+"""Faults of processes, injected before or after the effects of the step."""
 
 FAULTS = (*PACKET_FAULTS, *PROCESS_FAULTS)
 
@@ -683,7 +683,7 @@
 
 
 def play(case: Case) -> list[str]:
-    """Play one case and return its faults."""
+    """Run a case and return the violations found."""
     return Day(case).play()
 
 
@@ -693,9 +693,9 @@
 
 
 def applies(step: str, fault: str) -> bool:
-    """Whether a fault can befall a step: only a message can be lost, doubled or late.
+    """Return whether a fault applies to a step: only messages are lost, duplicated or delayed.
 
-    A request travels to its upstream over a connection, which loses or delays, but never doubles.
+    A request reaches its upstream over a connection, which never duplicates it.
     """
     if fault not in PACKET_FAULTS or step in PACKETS:
         return True
@@ -722,6 +722,6 @@
 
 
 def faults_of(cases: list[Case]) -> list[str]:
-    """Play cases and return one line for each that found a fault; its seed plays it again."""
+    """Run cases and return a line for each with violations, with the seed that reproduces it."""
     found = [(case, play(case)) for case in cases]
     return [f"{case.puts} seed {case.seed}: {faults}" for case, faults in found if faults]
