--- a/src/ebonystile/peer/carrying.py
+++ b/src/ebonystile/peer/carrying.py
@@ -16,7 +16,7 @@
 ASK = struct.Struct("!B12sQI")
 ANSWER = struct.Struct("!B12sQQBHIHHBB")
 OPEN = struct.Struct("!BQQ")
-PLAIN = struct.Struct("!B")
+TYPE_ONLY = struct.Struct("!B")
 RETURN = struct.Struct("!BBQ")
 
 ASK_MANY = struct.Struct("!BIQ")
@@ -28,11 +28,11 @@
 ANNOUNCE_TYPE, ASK_UNLISTED_TYPE, ANSWER_UNLISTED_TYPE = 9, 10, 11
 PROBE_MANY_TYPE = 12
 
-LENGTH = struct.Struct("!H")
+PACKET_LENGTH = struct.Struct("!H")
 
 ANNOUNCE = struct.Struct("!BB")
 ANSWER_UNLISTED = struct.Struct("!BIB")
-UNLISTED = struct.Struct("!4sH")
+UNLISTED_ADDRESS = struct.Struct("!4sH")
 
 LISTED, RELAYS = 1, 2
 
@@ -83,14 +83,14 @@
 
 @pack.register
 def _(message: messages.AnswerMany):
-    head = ANSWER_MANY.pack(
+    header = ANSWER_MANY.pack(
         ANSWER_MANY_TYPE,
         message.number,
         message.version,
         message.revision,
         *fields_of(message.load),
     )
-    return head + bytes(message.flow_statuses)
+    return header + bytes(message.flow_statuses)
 
 
 def fields_of(load: messages.Load) -> tuple[int, int, int, int, int, int]:
@@ -130,13 +130,13 @@
 
 @pack.register
 def _(message: messages.Probe):
-    return PLAIN.pack(PROBE_TYPE) + message.raw
+    return TYPE_ONLY.pack(PROBE_TYPE) + message.raw
 
 
 @pack.register
 def _(message: messages.ProbeMany):
-    parts = (LENGTH.pack(len(raw)) + raw for raw in message.raws)
-    return PLAIN.pack(PROBE_MANY_TYPE) + b"".join(parts)
+    parts = (PACKET_LENGTH.pack(len(raw)) + raw for raw in message.raws)
+    return TYPE_ONLY.pack(PROBE_MANY_TYPE) + b"".join(parts)
 
 
 @pack.register
@@ -151,20 +151,20 @@
 
 @pack.register
 def _(message: messages.AskUnlisted):
-    return PLAIN.pack(ASK_UNLISTED_TYPE)
+    return TYPE_ONLY.pack(ASK_UNLISTED_TYPE)
 
 
 @pack.register
 def _(message: messages.AnswerUnlisted):
     listened_ms = min(message.listened_ms, MAX_LISTENED_MS)
-    head = ANSWER_UNLISTED.pack(ANSWER_UNLISTED_TYPE, listened_ms, len(message.sidecars))
-    return head + b"".join(map(pack_unlisted, message.sidecars))
+    header = ANSWER_UNLISTED.pack(ANSWER_UNLISTED_TYPE, listened_ms, len(message.sidecars))
+    return header + b"".join(map(pack_unlisted, message.sidecars))
 
 
 def pack_unlisted(address: view.Address) -> bytes:
     """Return the encoded address of one sidecar."""
     host, port = address
-    return UNLISTED.pack(socket.inet_aton(host), port)
+    return UNLISTED_ADDRESS.pack(socket.inet_aton(host), port)
 
 
 def unpack(data: bytes) -> messages.Message:
@@ -210,14 +210,14 @@
 def read_probe_many(data: bytes) -> messages.ProbeMany:
     """Return the `ProbeMany` message in the datagram; raise `ValueError` if truncated."""
     raws = []
-    at = PLAIN.size
-    while at < len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
-        if at + length > len(data):
+    offset = TYPE_ONLY.size
+    while offset < len(data):
+        (length,) = PACKET_LENGTH.unpack_from(data, offset)
+        offset += PACKET_LENGTH.size
+        if offset + length > len(data):
             raise ValueError("truncated packet")
-        raws.append(data[at : at + length])
-        at += length
+        raws.append(data[offset : offset + length])
+        offset += length
     return messages.ProbeMany(tuple(raws))
 
 
@@ -237,9 +237,11 @@
     """Return the `AnswerUnlisted` message in the datagram; raise `ValueError` if truncated."""
     _, listened_ms, count = ANSWER_UNLISTED.unpack_from(data)
     packed = data[ANSWER_UNLISTED.size :]
-    if len(packed) != count * UNLISTED.size:
+    if len(packed) != count * UNLISTED_ADDRESS.size:
         raise ValueError("truncated list of sidecars")
-    sidecars = tuple((socket.inet_ntoa(h), port) for h, port in UNLISTED.iter_unpack(packed))
+    sidecars = tuple(
+        (socket.inet_ntoa(h), port) for h, port in UNLISTED_ADDRESS.iter_unpack(packed)
+    )
     return messages.AnswerUnlisted(listened_ms, sidecars)
 
 
--- a/src/ebonystile/peer/control.py
+++ b/src/ebonystile/peer/control.py
@@ -149,16 +149,16 @@
 def pack_update(update: configuration.Update) -> bytes:
     """Return an update as compressed CBOR."""
     items = [
-        pack_head(update.values),
+        pack_delta_head(update.values),
         [[key, entry.revision, entry.value] for key, entry in update.values.entries],
-        pack_head(update.instances),
+        pack_delta_head(update.instances),
         [[k, e.revision, pack_instance(e.value)] for k, e in update.instances.entries],
         [[r.revision, r.key, r.faults] for r in update.refusals],
     ]
     return zlib.compress(cbor2.dumps(items), 6)
 
 
-def pack_head(delta: store.Delta) -> PackedDelta:
+def pack_delta_head(delta: store.Delta) -> PackedDelta:
     """Return a delta without its entries."""
     return (delta.after, delta.complete_revision, delta.floor, delta.names)
 
@@ -173,11 +173,11 @@
 def unpack_update(data: bytes) -> configuration.Update:
     """Return the update in `data`; raise `DatagramError` if it is damaged."""
     try:
-        reader = zlib.decompressobj()
-        text = reader.decompress(data, MAX_UPDATE_BYTES)
-        if not reader.eof:
+        decompressor = zlib.decompressobj()
+        encoded = decompressor.decompress(data, MAX_UPDATE_BYTES)
+        if not decompressor.eof:
             raise ValueError("truncated or too large")
-        items = codec.freeze(cbor2.loads(text))
+        items = codec.freeze(cbor2.loads(encoded))
         if not CHECK_UPDATE(items):
             raise ValueError("a field has a wrong type")
     except Exception as error:
--- a/src/ebonystile/upstream/client.py
+++ b/src/ebonystile/upstream/client.py
@@ -104,7 +104,7 @@
     def __init__(self, url: str, connections: int, now: webclient.Clock):
         self.url = url
         self.now = now
-        self.work = webclient.Client(url, connections, block=True, now=now)
+        self.requests = webclient.Client(url, connections, block=True, now=now)
         self.feeds = webclient.Client(url, FEED_CONNECTIONS, block=False, now=now)
         self.control = webclient.Client(url, CONTROL_CONNECTIONS, block=False, now=now)
 
@@ -120,7 +120,7 @@
             "X-Deadline": str(job.deadline),
             "X-Idempotent": "1" if job.idempotent else "0",
         }
-        response = self.work.exchange(
+        response = self.requests.exchange(
             "POST",
             f"/requests/{self.quote_path(job.path, 'run request')}",
             deadline=job.deadline,
@@ -184,7 +184,7 @@
         events = []
         for position, item in enumerate(items, after + 1):
             match item:
-                case [int(found), bytes(event)] if found == position:
+                case [int(number), bytes(event)] if number == position:
                     events.append(Event(position, event))
                 case _:
                     raise self.make_error(f"no valid event at position {position}", step)
@@ -255,7 +255,7 @@
 
     def close(self) -> None:
         """Close the pooled connections."""
-        for client in (self.work, self.feeds, self.control):
+        for client in (self.requests, self.feeds, self.control):
             client.close()
 
 
--- a/tests/upstream/test_upstream_client.py
+++ b/tests/upstream/test_upstream_client.py
@@ -154,7 +154,7 @@
 def test_pooled_connection_that_the_upstream_closed_is_replaced(upstream):
     """Guards against a request lost on an idle connection that the upstream has closed."""
     upstream.run(make_job())
-    for connection in list(upstream.work.pool.pool.queue):
+    for connection in list(upstream.requests.pool.pool.queue):
         if connection is not None and connection.sock is not None:
             connection.sock.shutdown(socket.SHUT_RDWR)
     assert upstream.run(make_job()).status == 200
