--- a/src/ebonystile/core/calls/handover.py
+++ b/src/ebonystile/core/calls/handover.py
@@ -305,7 +305,7 @@
 
 def is_returning(known: flows.Flow, message: transfer.Transfer) -> bool:
     """Return whether the transfer brings back a flow that was handed over from here."""
-    return view.unpack_token(known.token).incarnation in message.answers_for
+    return view.unpack_token(known.token).incarnation in message.honoured_incarnations
 
 
 def adopt_flow(state: sidecar_state.SidecarState, message: transfer.Transfer, now: int) -> None:
@@ -325,7 +325,7 @@
         tuple(message.caller),
         tuple(message.via),
         now + state.limits.flow_lease_ms,
-        flows.merge_incarnations(message.answers_for, (incarnation,)),
+        flows.merge_incarnations(message.honoured_incarnations, (incarnation,)),
         message.forgotten_before,
         message.barred_before,
     )
--- a/src/ebonystile/peer/transfer.py
+++ b/src/ebonystile/peer/transfer.py
@@ -14,6 +14,9 @@
 
     `incarnation` is the target's incarnation that may accept the flow; 0 only asks for the current
     one. The target refuses after `deadline`, so a delayed copy cannot be accepted later.
+    Tokens of the `honoured_incarnations` stay valid at the new home. Of the requests without a
+    record, those with a deadline at or before `forgotten_before` have an unknown outcome, and those
+    at or before `barred_before` were refused.
     Records are (request, state, service, deadline, idempotent, keep_until, answer, status, body,
     reason, retry_at); feeds are (request, path, acknowledged position).
     """
@@ -24,7 +27,7 @@
     deadline: int
     flow: bytes
     service: str
-    answers_for: tuple[int, ...]
+    honoured_incarnations: tuple[int, ...]
     caller: Address
     via: Address
     forgotten_before: int
--- a/tests/test_handover_faults.py
+++ b/tests/test_handover_faults.py
@@ -138,7 +138,7 @@
     assert len(wire.traces_of("adopted")) == 1
 
 
-def transfer_of(home, incarnation, answers_for):
+def transfer_of(home, incarnation, honoured_incarnations):
     """Return a transfer to `home` from another sidecar."""
     return transfer.Transfer(
         b"t" * 16,
@@ -146,7 +146,7 @@
         wires.START + 60_000,
         FLOW,
         wires.SERVICE,
-        answers_for,
+        honoured_incarnations,
         ("10.0.0.3", 1),
         ("10.0.0.2", 100),
         0,
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "answers_for", "accepted", "kept"),
+    ("state", "honoured_incarnations", "accepted", "kept"),
     [
         ("idle", (5,), True, {5, 7}),
         ("undecided", (5,), False, {7}),
@@ -176,7 +176,7 @@
         ("moved", (5, 7), True, {5, 7}),
     ],
 )
-def test_transfer_to_a_sidecar_that_knows_the_flow(state, answers_for, accepted, kept):
+def test_transfer_to_a_sidecar_that_has_the_flow(state, honoured_incarnations, accepted, kept):
     """A sidecar that accepts a second home of a flow must not honour tokens of a fenced one.
 
     The flow of the fenced home may have moved, so those tokens would be valid at two sidecars.
@@ -187,7 +187,7 @@
         flow.handover.committed = True
     if state == "moved":
         flow.moved_to = sibling
-    message = transfer_of(core, core.incarnation, answers_for)
+    message = transfer_of(core, core.incarnation, honoured_incarnations)
     decided = sidecar.decide(core, wires.events.TransferArrived(1, message), wires.START)
     reply = next(e.reply for e in decided if isinstance(e, wires.effects.AnswerTransfer))
     assert reply.accepted == accepted
