--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -54,9 +54,9 @@
 
 @play.register
 def _(case: matrix.Case) -> tuple[bool, list[str]]:
-    day = matrix.Day(case)
-    faults = day.play()
-    return len(day.struck) == len(case.puts), faults
+    scenario = matrix.Scenario(case)
+    faults = scenario.play()
+    return len(scenario.injected) == len(case.puts), faults
 
 
 def play_all(
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -103,7 +103,7 @@
     seed: int
 
 
-class Day:
+class Scenario:
     """A run in which callers send requests, an upstream is replaced and faults are injected."""
 
     def __init__(self, case: Case):
@@ -111,14 +111,14 @@
         self.rng = random.Random(repr(case))
         self.wire = wires.Wire(self.rng.randrange(1 << 30), wires.sidecar_state.Limits(**LIMITS))
         self.checks = checking.Checks(self.wire)
-        self.armed = [Put(self, step, fault) for step, fault in case.puts]
+        self.armed = [Injection(self, step, fault) for step, fault in case.puts]
         self.ended: set[str] = set()
         self.ports = itertools.count(300)
         self.callers: list[call.Call] = []
         self.labels: dict[str, set[str]] = {}
         self.started: list[wires.SidecarProcess] = []
         self.leaving: set[str] = set()
-        self.struck: list[str] = []
+        self.injected: list[str] = []
         self.wire.message_delays = self.message_delays
         self.wire.run_delays = self.run_delays
         self.wire.on_step = self.on_step
@@ -140,7 +140,7 @@
         self.started.append(self.wire.add_sidecar(name, port, kind))
         return self.started[-1]
 
-    def home(self, name: str) -> wires.SidecarProcess | None:
+    def process_named(self, name: str) -> wires.SidecarProcess | None:
         """Return a running sidecar by name."""
         return next((h for h in self.wire.sidecars.values() if h.name == name), None)
 
@@ -161,10 +161,10 @@
     def busiest(self) -> wires.SidecarProcess:
         """Return the home of the first caller's flow, or else any sidecar."""
         flow = self.callers[0].flow if self.callers else b""
-        homes = list(self.wire.sidecars.values()) or self.started
-        held = [h for h in homes if h.core and flow in h.core.flows]
+        processes = list(self.wire.sidecars.values()) or self.started
+        held = [h for h in processes if h.core and flow in h.core.flows]
         serving = [h for h in held if not h.core.flows[flow].is_fenced]
-        return (serving or held or homes)[0]
+        return (serving or held or processes)[0]
 
     # The scenario
 
@@ -191,10 +191,10 @@
             (520, lambda: self.ask(first, "report")),
             (700, lambda: self.ask(fourth, "report")),
             (900, lambda: self.ask(first, "answers/2500", size=2_000)),
-            (1_300, self.end_drained),
+            (1_300, self.stop_drained),
             (1_400, lambda: self.ask(first, "report")),
             (1_500, lambda: self.ask(second, "report")),
-            (1_900, self.bring_back),
+            (1_900, self.add_replacement),
             (2_500, lambda: self.ask(first, "report", size=1_500)),
             (2_600, lambda: self.settle_some()),
             (2_800, lambda: self.ask(third, "upload", idempotent=True)),
@@ -288,44 +288,48 @@
         self.leaver = self.busiest()
         self.leave(self.leaver)
 
-    def leave(self, home: wires.SidecarProcess) -> None:
+    def leave(self, process: wires.SidecarProcess) -> None:
         """Mark an instance as leaving."""
-        self.leaving.add(home.name)
-        if not self.wire.platform_down and not home.stale and home.paused_until <= self.wire.now:
-            home.left_at = self.wire.now
+        self.leaving.add(process.name)
+        if (
+            not self.wire.platform_down
+            and not process.stale
+            and process.paused_until <= self.wire.now
+        ):
+            process.left_at = self.wire.now
         self.publish()
 
-    def stay(self, name: str) -> None:
+    def cancel_leaving(self, name: str) -> None:
         """Unmark a leaving instance, also if its process was restarted."""
         self.leaving.discard(name)
-        for home in self.wire.sidecars.values():
-            if home.name == name:
-                home.left_at = None
+        for process in self.wire.sidecars.values():
+            if process.name == name:
+                process.left_at = None
         self.publish()
 
-    def end_drained(self) -> None:
+    def stop_drained(self) -> None:
         """Stop the leaving sidecar once it is drained and has no running requests."""
-        home = self.leaver
-        if self.homes_core(home) is None:
+        process = self.leaver
+        if self.running_core(process) is None:
             return
         elapsed = self.wire.now - wires.START
-        if home.name in self.leaving and elapsed < ACTIVE_MS:
-            if sidecar.is_drained(home.core) and not home.jobs:
-                self.end(home)
+        if process.name in self.leaving and elapsed < ACTIVE_MS:
+            if sidecar.is_drained(process.core) and not process.jobs:
+                self.end(process)
                 self.publish()
             else:
-                self.wire.schedule(200, self.end_drained)
+                self.wire.schedule(200, self.stop_drained)
 
-    def homes_core(self, home: wires.SidecarProcess):
+    def running_core(self, process: wires.SidecarProcess):
         """Return the core, or None if the process no longer runs at its address."""
-        return home.core if self.wire.sidecars.get(home.address) is home else None
+        return process.core if self.wire.sidecars.get(process.address) is process else None
 
-    def end(self, home: wires.SidecarProcess) -> None:
+    def end(self, process: wires.SidecarProcess) -> None:
         """Kill a process and unmark its instance."""
-        self.wire.kill(home)
-        self.leaving.discard(home.name)
+        self.wire.kill(process)
+        self.leaving.discard(process.name)
 
-    def bring_back(self) -> None:
+    def add_replacement(self) -> None:
         """Start a replacement."""
         self.add_sidecar("ledger-new", wires.SERVICE, 220)
         self.publish()
@@ -335,49 +339,55 @@
     def message_delays(self, source, target, kind: str) -> list[int]:
         """Return the delays of a message under the active faults."""
         delays = [wires.HOP_MS]
-        for put in self.armed:
-            delays = put.on_message(source, target, kind, delays)
+        for injection in self.armed:
+            delays = injection.on_message(source, target, kind, delays)
         return delays
 
-    def run_delays(self, home: wires.SidecarProcess) -> list[int]:
+    def run_delays(self, process: wires.SidecarProcess) -> list[int]:
         """Return the delays of delivering a request to an upstream."""
-        for put in self.armed:
-            if put.step == "handed to the upstream" and put.fault in PACKET_FAULTS and put.due():
-                return {"loss": [], "loss for long": [], "long delay": [LONG]}.get(put.fault, [40])
+        for injection in self.armed:
+            if (
+                injection.step == "handed to the upstream"
+                and injection.fault in PACKET_FAULTS
+                and injection.is_due()
+            ):
+                return {"loss": [], "loss for long": [], "long delay": [LONG]}.get(
+                    injection.fault, [40]
+                )
         return [wires.HOP_MS]
 
-    def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
+    def on_step(self, step: str, process: wires.SidecarProcess, after: bool) -> None:
         """Inject the faults that are armed for a step."""
-        for put in self.armed:
-            put.on_step(step, home, after)
+        for injection in self.armed:
+            injection.on_step(step, process, after)
 
     def heal(self) -> None:
         """End every lasting fault."""
         self.wire.blocked.clear()
         self.wire.platform_down = False
-        for put in self.armed:
-            put.over = True
-        for home in list(self.wire.sidecars.values()):
-            home.stale = False
-            home.upstream_down_until = 0
-            home.paused_until = min(home.paused_until, self.wire.now)
-            self.wire.wake(home)
+        for injection in self.armed:
+            injection.over = True
+        for process in list(self.wire.sidecars.values()):
+            process.stale = False
+            process.upstream_down_until = 0
+            process.paused_until = min(process.paused_until, self.wire.now)
+            self.wire.wake(process)
         self.publish()
 
 
-class Put:
+class Injection:
     """A fault, injected when its step happens for the n-th time."""
 
-    def __init__(self, day: Day, step: str, fault: str):
-        self.day = day
+    def __init__(self, scenario: Scenario, step: str, fault: str):
+        self.scenario = scenario
         self.step = step
         self.fault = fault
-        self.skip = day.rng.choice([0, 0, 1] if step in RARE_STEPS else [0, 0, 0, 1, 1, 2, 4])
+        self.skip = scenario.rng.choice([0, 0, 1] if step in RARE_STEPS else [0, 0, 0, 1, 1, 2, 4])
         self.done = False
         self.over = False
         self.until = 0
 
-    def due(self) -> bool:
+    def is_due(self) -> bool:
         """Count an occurrence of the step and return whether to inject the fault now."""
         if self.done or self.over:
             return False
@@ -385,51 +395,55 @@
             self.skip -= 1
             return False
         self.done = True
-        self.day.struck.append(f"{self.step}/{self.fault}")
+        self.scenario.injected.append(f"{self.step}/{self.fault}")
         return True
 
     def on_message(self, source, target, kind: str, delays: list[int]) -> list[int]:
         """Return the changed delays of a message, or inject a process fault when it is sent."""
         if PACKETS.get(self.step) != kind:
             return delays
-        wire = self.day.wire
+        wire = self.scenario.wire
         if self.fault not in PACKET_FAULTS:
-            if self.due():
-                home = wire.sidecars.get(target) or wire.sidecars.get(source) or self.day.busiest()
+            if self.is_due():
+                process = (
+                    wire.sidecars.get(target)
+                    or wire.sidecars.get(source)
+                    or self.scenario.busiest()
+                )
                 delay = 0 if self.fault.endswith("before") else 2
-                wire.schedule(delay, lambda: self.strike(home, source, target))
+                wire.schedule(delay, lambda: self.inject(process, source, target))
             return delays
         if self.fault == "loss for long" and wire.now < self.until:
             return []
-        if not self.due():
+        if not self.is_due():
             return delays
         self.until = wire.now + DEADLINE // 2
         return PACKET_FAULTS[self.fault](delays)
 
-    def on_step(self, step: str, home: wires.SidecarProcess, after: bool) -> None:
+    def on_step(self, step: str, process: wires.SidecarProcess, after: bool) -> None:
         """Inject the fault at a step of a sidecar."""
         if self.fault in PACKET_FAULTS:
             return
         if TRACES.get(self.step) == step or self.step == step:
-            if after == self.fault.endswith("after") and self.due():
-                self.strike(home, None, None)
-        elif self.step == "running" and step == "started" and after and self.due():
-            self.day.wire.schedule(RUNNING_MS // 3, lambda: self.strike(home, None, None))
+            if after == self.fault.endswith("after") and self.is_due():
+                self.inject(process, None, None)
+        elif self.step == "running" and step == "started" and after and self.is_due():
+            self.scenario.wire.schedule(RUNNING_MS // 3, lambda: self.inject(process, None, None))
         elif self.step == "configuration accepted" and step in (
             "leaving",
             "services_lost",
             "staying",
         ):
-            self.on_accepted(home, after)
+            self.on_accepted(process, after)
 
-    def on_accepted(self, home: wires.SidecarProcess, after: bool) -> None:
+    def on_accepted(self, process: wires.SidecarProcess, after: bool) -> None:
         """Inject the fault when a sidecar acts on a newer view."""
-        if after == self.fault.endswith("after") and self.due():
-            self.strike(home, None, None)
+        if after == self.fault.endswith("after") and self.is_due():
+            self.inject(process, None, None)
 
-    def strike(self, home: wires.SidecarProcess, source, target) -> None:
+    def inject(self, process: wires.SidecarProcess, source, target) -> None:
         """Apply the process fault."""
-        PROCESS_FAULTS[self.fault](self.day, home, source, target)
+        PROCESS_FAULTS[self.fault](self.scenario, process, source, target)
 
 
 PACKET_FAULTS: dict[str, typing.Callable[[list[int]], list[int]]] = {
@@ -443,191 +457,191 @@
 """Maps the delays of the affected message to its delays under the fault."""
 
 
-def kill_sidecar(day: Day, home, source, target) -> None:
+def kill_sidecar(scenario: Scenario, process, source, target) -> None:
     """Kill a sidecar; it restarts at the same address as a new incarnation."""
-    if day.homes_core(home) is None:
+    if scenario.running_core(process) is None:
         return
-    day.wire.kill(home)
-    day.wire.schedule(300, functools.partial(restart, day, home))
+    scenario.wire.kill(process)
+    scenario.wire.schedule(300, functools.partial(restart, scenario, process))
 
 
-def restart(day: Day, home: wires.SidecarProcess) -> None:
+def restart(scenario: Scenario, process: wires.SidecarProcess) -> None:
     """Restart an instance at its address, unless the address is taken."""
-    if home.address not in day.wire.sidecars:
-        again = day.wire.add_sidecar(
-            home.name, home.address[1], offset=day.rng.choice([0, 400, -400])
+    if process.address not in scenario.wire.sidecars:
+        again = scenario.wire.add_sidecar(
+            process.name, process.address[1], offset=scenario.rng.choice([0, 400, -400])
         )
-        again.served_services = home.served_services
-        again.left_at = home.left_at
-        day.wire.show_view(again, day.wire.views[-1])
+        again.served_services = process.served_services
+        again.left_at = process.left_at
+        scenario.wire.show_view(again, scenario.wire.views[-1])
 
 
-def kill_for_good(day: Day, home, source, target) -> None:
+def kill_for_good(scenario: Scenario, process, source, target) -> None:
     """Kill a sidecar for good; the list is updated late."""
-    if day.homes_core(home) is not None:
-        day.wire.kill(home)
-        day.leaving.discard(home.name)
-        day.wire.schedule(1_500, day.publish)
+    if scenario.running_core(process) is not None:
+        scenario.wire.kill(process)
+        scenario.leaving.discard(process.name)
+        scenario.wire.schedule(1_500, scenario.publish)
 
 
-def kill_balancer(day: Day, home, source, target) -> None:
+def kill_balancer(scenario: Scenario, process, source, target) -> None:
     """Kill a balancer and start another one elsewhere."""
-    balancers = day.wire.balancers
+    balancers = scenario.wire.balancers
     address = next((a for a in (target, source) if a in balancers), next(iter(balancers)))
     del balancers[address]
-    port = next(day.ports)
-    day.wire.add_balancer(port)
-    day.publish()
+    port = next(scenario.ports)
+    scenario.wire.add_balancer(port)
+    scenario.publish()
 
 
-def kill_upstream(day: Day, home, source, target) -> None:
+def kill_upstream(scenario: Scenario, process, source, target) -> None:
     """Kill the upstream of a sidecar; it restarts after a while."""
-    if day.homes_core(home) is not None:
-        day.wire.kill_upstream(home, 800)
+    if scenario.running_core(process) is not None:
+        scenario.wire.kill_upstream(process, 800)
 
 
-def pause(day: Day, home, source, target, duration: int = LONG) -> None:
+def pause(scenario: Scenario, process, source, target, duration: int = LONG) -> None:
     """Pause a sidecar for longer than any deadline; it resumes with its old view."""
-    day.wire.pause(home, duration)
+    scenario.wire.pause(process, duration)
 
 
-def short_pause(day: Day, home, source, target) -> None:
+def short_pause(scenario: Scenario, process, source, target) -> None:
     """Pause a sidecar for less than the deadlines."""
-    pause(day, home, source, target, 1_200)
+    pause(scenario, process, source, target, 1_200)
 
 
-def reuse_address(day: Day, home, source, target) -> None:
+def reuse_address(scenario: Scenario, process, source, target) -> None:
     """Kill a sidecar; its address goes to another service's upstream before the list shows it."""
-    if day.homes_core(home) is None:
+    if scenario.running_core(process) is None:
         return
-    day.wire.kill(home)
-    day.leaving.discard(home.name)
-    name = f"photos-at-{home.address[1]}"
-    if name not in day.labels:
-        taker = day.add_sidecar(name, PHOTOS, home.address[1])
-        day.wire.show_view(taker, day.wire.views[-1])
-    day.wire.schedule(900, day.publish)
+    scenario.wire.kill(process)
+    scenario.leaving.discard(process.name)
+    name = f"photos-at-{process.address[1]}"
+    if name not in scenario.labels:
+        sidecar_process = scenario.add_sidecar(name, PHOTOS, process.address[1])
+        scenario.wire.show_view(sidecar_process, scenario.wire.views[-1])
+    scenario.wire.schedule(900, scenario.publish)
 
 
-def others(day: Day, home) -> list:
+def others(scenario: Scenario, process) -> list:
     """Return the addresses of the other sidecars."""
-    return [a for a in day.wire.sidecars if a != home.address]
+    return [a for a in scenario.wire.sidecars if a != process.address]
 
 
-def cut_off(day: Day, home, source, target) -> None:
+def cut_off(scenario: Scenario, process, source, target) -> None:
     """Block all messages between a sidecar and the other processes."""
-    for other in [*others(day, home), *day.wire.balancers, "platform"]:
-        day.wire.block(home.address, other, 2_500)
-        day.wire.block(other, home.address, 2_500)
+    for other in [*others(scenario, process), *scenario.wire.balancers, "platform"]:
+        scenario.wire.block(process.address, other, 2_500)
+        scenario.wire.block(other, process.address, 2_500)
 
 
-def cut_inward(day: Day, home, source, target) -> None:
+def cut_inward(scenario: Scenario, process, source, target) -> None:
     """Block all messages to a sidecar."""
-    for other in [*others(day, home), *day.wire.balancers, "platform"]:
-        day.wire.block(other, home.address, 2_500)
+    for other in [*others(scenario, process), *scenario.wire.balancers, "platform"]:
+        scenario.wire.block(other, process.address, 2_500)
 
 
-def cut_outward(day: Day, home, source, target) -> None:
+def cut_outward(scenario: Scenario, process, source, target) -> None:
     """Block all messages from a sidecar to other sidecars and to balancers."""
-    for other in [*others(day, home), *day.wire.balancers]:
-        day.wire.block(home.address, other, 2_500)
+    for other in [*others(scenario, process), *scenario.wire.balancers]:
+        scenario.wire.block(process.address, other, 2_500)
 
 
-def cut_siblings(day: Day, home, source, target) -> None:
+def cut_siblings(scenario: Scenario, process, source, target) -> None:
     """Block messages between sidecars for longer than the handover timeout."""
-    for one, other in itertools.permutations(list(day.wire.sidecars), 2):
-        day.wire.block(one, other, 3_200)
+    for one, other in itertools.permutations(list(scenario.wire.sidecars), 2):
+        scenario.wire.block(one, other, 3_200)
 
 
-def platform_down(day: Day, home, source, target) -> None:
+def platform_down(scenario: Scenario, process, source, target) -> None:
     """Make the platform unreachable until the faults are healed."""
-    day.wire.platform_down = True
+    scenario.wire.platform_down = True
 
 
-def platform_stale(day: Day, home, source, target) -> None:
+def platform_stale(scenario: Scenario, process, source, target) -> None:
     """Keep one sidecar on its old view."""
-    home.stale = True
+    process.stale = True
 
 
-def platform_older(day: Day, home, source, target) -> None:
+def platform_older(scenario: Scenario, process, source, target) -> None:
     """Let the platform return its first revision to all processes."""
-    for part in [*day.wire.sidecars.values(), *day.wire.balancers.values()]:
-        day.wire.show_view(part, day.wire.views[0])
+    for part in [*scenario.wire.sidecars.values(), *scenario.wire.balancers.values()]:
+        scenario.wire.show_view(part, scenario.wire.views[0])
 
 
-def list_lags(day: Day, home, source, target) -> None:
+def list_lags(scenario: Scenario, process, source, target) -> None:
     """Make an instance leave that the list still shows as live."""
-    if day.homes_core(home) is not None:
-        day.wire.post(home, events.Leave("SIGTERM"))
+    if scenario.running_core(process) is not None:
+        scenario.wire.post(process, events.Leave("SIGTERM"))
 
 
-def move_service(day: Day, home, source, target) -> None:
+def move_service(scenario: Scenario, process, source, target) -> None:
     """Move an upstream to the other service by its label.
 
     After `LEAVE_BOUND_MS` it must not run requests of the old service, unless the platform was
     unreachable or the view stale; a pause of the process is no exception.
     """
-    day.labels[home.name] = {PHOTOS}
-    home.served_services.add(PHOTOS)
-    day.publish()
+    scenario.labels[process.name] = {PHOTOS}
+    process.served_services.add(PHOTOS)
+    scenario.publish()
 
     def end_grace():
-        deaf = day.wire.blocked.get(("platform", home.address), 0)
-        if not (day.wire.platform_down or home.stale or deaf):
-            home.served_services.discard(wires.SERVICE)
+        blocked_until = scenario.wire.blocked.get(("platform", process.address), 0)
+        if not (scenario.wire.platform_down or process.stale or blocked_until):
+            process.served_services.discard(wires.SERVICE)
 
-    day.wire.schedule(wires.LEAVE_BOUND_MS, end_grace)
+    scenario.wire.schedule(wires.LEAVE_BOUND_MS, end_grace)
 
 
-def remove_label(day: Day, home, source, target) -> None:
+def remove_label(scenario: Scenario, process, source, target) -> None:
     """Remove an upstream's label."""
-    day.labels[home.name] = set()
-    day.publish()
+    scenario.labels[process.name] = set()
+    scenario.publish()
 
 
-def restore_label(day: Day, home, source, target) -> None:
+def restore_label(scenario: Scenario, process, source, target) -> None:
     """Remove an upstream's label and restore it soon."""
-    kept = day.labels[home.name]
-    remove_label(day, home, source, target)
+    kept = scenario.labels[process.name]
+    remove_label(scenario, process, source, target)
 
     def restore():
-        day.labels[home.name] = kept
-        day.publish()
+        scenario.labels[process.name] = kept
+        scenario.publish()
 
-    day.wire.schedule(day.rng.choice([30, 150, 600]), restore)
+    scenario.wire.schedule(scenario.rng.choice([30, 150, 600]), restore)
 
 
-def leave_and_stay(day: Day, home, source, target) -> None:
+def leave_and_stay(scenario: Scenario, process, source, target) -> None:
     """Mark an upstream as leaving and unmark it soon after."""
-    day.leave(home)
+    scenario.leave(process)
 
-    def stay():
-        day.stay(home.name)
+    def cancel_leaving():
+        scenario.cancel_leaving(process.name)
 
-    day.wire.schedule(day.rng.choice([5, 40, 200, 700]), stay)
+    scenario.wire.schedule(scenario.rng.choice([5, 40, 200, 700]), cancel_leaving)
 
 
-def both_at_once(day: Day, home, source, target) -> None:
+def both_at_once(scenario: Scenario, process, source, target) -> None:
     """Move one upstream to the other service while another one leaves."""
-    move_service(day, home, source, target)
+    move_service(scenario, process, source, target)
     rest = [
         h
-        for h in day.wire.sidecars.values()
-        if h is not home and wires.SERVICE in h.served_services
+        for h in scenario.wire.sidecars.values()
+        if h is not process and wires.SERVICE in h.served_services
     ]
     if len(rest) > 1:
-        leave_and_stay(day, rest[0], source, target)
+        leave_and_stay(scenario, rest[0], source, target)
 
 
-def clocks_apart(day: Day, home, source, target) -> None:
+def clocks_apart(scenario: Scenario, process, source, target) -> None:
     """Move one sidecar's clock ahead, as after a suspend of the machine."""
-    home.clock_offset += 1_500
+    process.clock_offset += 1_500
 
 
-def caller_clock_behind(day: Day, home, source, target) -> None:
+def caller_clock_behind(scenario: Scenario, process, source, target) -> None:
     """Set the callers' clocks behind those of the other processes."""
-    for address in day.wire.callers:
-        day.wire.caller_clock_offsets[address] = -400
+    for address in scenario.wire.callers:
+        scenario.wire.caller_clock_offsets[address] = -400
 
 
 PROCESS_FAULTS: dict[str, typing.Callable] = {
@@ -684,7 +698,7 @@
 
 def play(case: Case) -> list[str]:
     """Run a case and return the violations found."""
-    return Day(case).play()
+    return Scenario(case).play()
 
 
 def seeds_of(*key: str, count: int) -> list[int]:
--- a/tests/test_matrix_pairs.py
+++ b/tests/test_matrix_pairs.py
@@ -17,18 +17,18 @@
     assert matrix.faults_of(cases) == []
 
 
-def test_day_without_faults_keeps_every_flow():
-    """Nothing strikes: an upstream drains, goes and is replaced, and no flow is opened anew."""
+def test_scenario_without_faults_keeps_every_flow():
+    """Without faults, replacing an upstream reopens no flow."""
     for seed in range(20):
-        day = matrix.Day(matrix.Case((), seed))
-        assert day.play() == []
-        assert [caller.reopen_count for caller in day.callers] == [0, 0, 0, 0]
-        ended = [a for a in day.checks.requests.values() if a.path != "slow/600"]
+        scenario = matrix.Scenario(matrix.Case((), seed))
+        assert scenario.play() == []
+        assert [caller.reopen_count for caller in scenario.callers] == [0, 0, 0, 0]
+        ended = [a for a in scenario.checks.requests.values() if a.path != "slow/600"]
         assert all(a.result.outcome is not progress.Outcome.UNKNOWN for a in ended)
 
 
 def test_same_case_gives_the_same_run():
     case = matrix.Case((("transfer sent", "late duplicate"), ("answered", "loss")), 7)
-    runs = [matrix.Day(case) for _ in range(2)]
-    assert [day.play() for day in runs] == [[], []]
+    runs = [matrix.Scenario(case) for _ in range(2)]
+    assert [scenario.play() for scenario in runs] == [[], []]
     assert runs[0].wire.traces == runs[1].wire.traces
--- a/tests/test_matrix_sequences.py
+++ b/tests/test_matrix_sequences.py
@@ -26,13 +26,13 @@
 
     def __init__(self):
         super().__init__()
-        self.day = matrix.Day(matrix.Case((), 1))
-        self.wire = self.day.wire
+        self.scenario = matrix.Scenario(matrix.Case((), 1))
+        self.wire = self.scenario.wire
         self.strikes: list[tuple[str, tuple[int, ...]]] = []
         self.wire.message_delays = self.message_delays
         self.wire.schedule_every(500, self.wire.confirm)
-        self.wire.schedule_every(50, self.day.collect)
-        self.day.callers.append(self.wire.add_caller())
+        self.wire.schedule_every(50, self.scenario.collect)
+        self.scenario.callers.append(self.wire.add_caller())
         self.wire.run(20)
 
     def message_delays(self, _source, _target, kind):
@@ -44,38 +44,38 @@
         return [wires.HOP_MS]
 
     def home(self, number):
-        homes = list(self.wire.sidecars.values()) or self.day.started
+        homes = list(self.wire.sidecars.values()) or self.scenario.started
         return homes[number % len(homes)]
 
     def caller(self, number):
-        return self.day.callers[number % len(self.day.callers)]
+        return self.scenario.callers[number % len(self.scenario.callers)]
 
-    @stateful.precondition(lambda self: len(self.day.callers) < MAX_CALLERS)
+    @stateful.precondition(lambda self: len(self.scenario.callers) < MAX_CALLERS)
     @stateful.rule(service=st.sampled_from([wires.SERVICE, matrix.PHOTOS]))
     def open(self, service):
-        self.day.callers.append(self.wire.add_caller(service))
+        self.scenario.callers.append(self.wire.add_caller(service))
 
     @stateful.rule(number=CALLERS, path=PATHS, size=st.sampled_from([0, 3_000]), safe=st.booleans())
     def ask(self, number, path, size, safe):
-        self.day.ask(self.caller(number), path, size=size, idempotent=safe)
+        self.scenario.ask(self.caller(number), path, size=size, idempotent=safe)
 
     @stateful.rule(number=CALLERS)
     def subscribe(self, number):
         caller = self.caller(number)
         if not caller.closed and len(caller.subscriptions) < 2:
-            caller.subscribe("spans", 900, self.day.caller_clock(caller))
+            caller.subscribe("spans", 900, self.scenario.caller_clock(caller))
 
     @stateful.rule(number=CALLERS, cancel=st.booleans())
     def end_requests(self, number, cancel):
         caller = self.caller(number)
         for request in list(caller.pending):
             act = caller.cancel if cancel else caller.settle
-            act(request, self.day.caller_clock(caller))
+            act(request, self.scenario.caller_clock(caller))
 
-    @stateful.precondition(lambda self: len(self.day.callers) > 1)
+    @stateful.precondition(lambda self: len(self.scenario.callers) > 1)
     @stateful.rule()
     def close(self):
-        self.day.callers[-1].close()
+        self.scenario.callers[-1].close()
 
     @stateful.rule(duration=st.sampled_from([1, 5, 30, 150, 700, 2_500]))
     def run(self, duration):
@@ -93,24 +93,24 @@
     def befall(self, number, fault):
         if "for good" in fault and len(self.wire.sidecars) < 4:
             return
-        matrix.PROCESS_FAULTS[fault](self.day, self.home(number), None, None)
+        matrix.PROCESS_FAULTS[fault](self.scenario, self.home(number), None, None)
 
     @stateful.rule(number=HOMES)
     def leave(self, number):
-        self.day.leave(self.home(number))
+        self.scenario.leave(self.home(number))
 
     @stateful.rule(number=HOMES)
     def stay(self, number):
-        self.day.stay(self.home(number).name)
+        self.scenario.cancel_leaving(self.home(number).name)
 
     @stateful.rule(number=HOMES)
     def stop_planned(self, number):
         """Stop a process as SIGTERM does; it ends once it is drained."""
         home = self.home(number)
         self.wire.post(home, events.Leave("SIGTERM"))
-        self.day.leaver = home
-        self.day.leaving.add(home.name)
-        self.wire.schedule(300, self.day.end_drained)
+        self.scenario.leaver = home
+        self.scenario.leaving.add(home.name)
+        self.wire.schedule(300, self.scenario.stop_drained)
 
     @stateful.rule()
     def restore_platform(self):
@@ -118,14 +118,14 @@
 
     @stateful.invariant()
     def nothing_is_wrong(self):
-        assert self.day.checks.violations == []
+        assert self.scenario.checks.violations == []
 
     def teardown(self):
         self.strikes.clear()
-        self.day.heal()
+        self.scenario.heal()
         self.wire.tick_ms = 100
         self.wire.run(SETTLE_MS)
-        assert self.day.checks.check_at_end() == []
+        assert self.scenario.checks.check_at_end() == []
 
 
 TestFlows = Flows.TestCase
