--- a/src/ebonystile/carrier/balancer.py
+++ b/src/ebonystile/carrier/balancer.py
@@ -95,9 +95,9 @@
         self.apply_effects(self.core.on_tick(now))
         if self.leaving_since is None:
             return
-        left = now - self.leaving_since
-        quiet = now - self.last_packet_at >= LEAVE_IDLE_MS
-        if left >= MAX_LEAVE_MS or (left >= MIN_LEAVE_MS and quiet):
+        leaving_ms = now - self.leaving_since
+        is_idle = now - self.last_packet_at >= LEAVE_IDLE_MS
+        if leaving_ms >= MAX_LEAVE_MS or (leaving_ms >= MIN_LEAVE_MS and is_idle):
             self.loop.stop()
 
     def on_leave(self) -> None:
--- a/src/ebonystile/carrier/feed.py
+++ b/src/ebonystile/carrier/feed.py
@@ -144,8 +144,8 @@
         try:
             result = store.parse_result(call, status, body)
         except errors.PlatformError as error:
-            without_store = self.source is sourcing.STORE or status == store.UNAVAILABLE
-            self.record_failure(call, str(error), without_store)
+            store_failed = self.source is sourcing.STORE or status == store.UNAVAILABLE
+            self.record_failure(call, str(error), store_failed)
             return
         self.counts["store_answered" if self.source is sourcing.STORE else "relay_answered"] += 1
         self.sources.on_answered(self.source)
@@ -161,7 +161,7 @@
         call, self.call = self.call, None
         self.record_failure(call, reason, self.source is sourcing.STORE)
 
-    def record_failure(self, call: reading.Call, reason: str, without_store: bool) -> None:
+    def record_failure(self, call: reading.Call, reason: str, store_failed: bool) -> None:
         """Record a failed call and retry; log only the first of several failures in a row."""
         now = clock.now()
         self.counts["store_failed" if self.source is sourcing.STORE else "relay_failed"] += 1
@@ -170,7 +170,7 @@
             self.log.event("store_lost", call=call.kind.value, source=source, reason=reason)
         self.sources.on_failed(self.source, now)
         others = self.sources.has_alternative(self.reader.complete, now)
-        self.reader.on_failed(now, store=without_store, at_once=others)
+        self.reader.on_failed(now, store=store_failed, at_once=others)
         self.relay.expire_watches(now)
         self.on_change()
         self.make_next_call()
--- a/src/ebonystile/carrier/report.py
+++ b/src/ebonystile/carrier/report.py
@@ -81,7 +81,7 @@
             "outcome",
         )
         registry.tally("log_lines_left_out", "Lines not logged.", self.log.left_out, "event")
-        registry.gauge("view_fresh", "1 while the view is known to be new.", store_feed.is_current)
+        registry.gauge("view_fresh", "1 while the view is current.", store_feed.is_current)
         registry.gauge("configuration", "Version of the configuration.", store_feed.version)
         registry.gauge("upstreams", "Upstreams listed.", lambda: len(store_feed.fleet.upstreams))
         self.add_program_metrics(registry)
--- a/src/ebonystile/core/carrying/finding.py
+++ b/src/ebonystile/core/carrying/finding.py
@@ -94,20 +94,20 @@
     state: balancer_state.BalancerState, search: flow_search.Search, now: int
 ) -> list[effects.Effect] | None:
     """Return the effects by which the answers end or advance the search, or None to wait."""
-    kept = search.holder()
-    if kept is not None:
+    holder = search.holder()
+    if holder is not None:
         state.end_search(search)
-        home = state.remember_home(search.flow, kept, now)
+        home = state.remember_home(search.flow, holder, now)
         home.verified_until = now + VERIFIED_MS
         return [
             effects.trace(
                 "found",
                 flow=packet.flow_text(search.flow),
-                upstream=kept.name,
+                upstream=holder.name,
                 asked=len(search.asked),
                 searched_ms=now - search.started_at,
             ),
-            *[effects.Send(kept.address, messages.Carry(p.raw)) for p in search.packets],
+            *[effects.Send(holder.address, messages.Carry(p.raw)) for p in search.packets],
         ]
     if not search.is_round_over(now):
         return None
--- a/src/ebonystile/core/carrying/flow_search.py
+++ b/src/ebonystile/core/carrying/flow_search.py
@@ -121,12 +121,12 @@
 
     def holder(self) -> fleet.Upstream | None:
         """Return the upstream that holds the flow or has accepted it, or None."""
-        kept = [
+        holders = [
             (answer.flow_status, upstream)
             for upstream, answer in self.answers.values()
             if self.is_decisive(answer) and upstream.address not in self.excluded
         ]
-        return max(kept, key=lambda pair: pair[0])[1] if kept else None
+        return max(holders, key=lambda pair: pair[0])[1] if holders else None
 
     def ordered_answers(self) -> list[tuple[fleet.Upstream, messages.Answer]]:
         """Return the answers in the order of the queries, which differs from flow to flow."""
--- a/src/ebonystile/core/carrying/opening.py
+++ b/src/ebonystile/core/carrying/opening.py
@@ -56,9 +56,9 @@
     state: balancer_state.BalancerState, search: flow_search.Search, now: int
 ) -> list[effects.Effect] | None:
     """Return the effects that place, defer or refuse a new flow, or None to wait for answers."""
-    kept = search.holder()
-    if kept is not None:
-        return place_flow(state, search, kept, now)
+    holder = search.holder()
+    if holder is not None:
+        return place_flow(state, search, holder, now)
     chosen = placing.pick_best(
         placing.compare_candidates(estimate_loads(state, search), state.zone, now)
     )
