--- a/src/ebonystile/core/calls/balancer.py
+++ b/src/ebonystile/core/calls/balancer.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """Send a caller's datagram to a sidecar. Not frozen, which would double its creation time."""
+    """Send a caller's datagram to a sidecar; not frozen, since that makes creation slower."""
 
     address: view.Address
     forward: messages.Forward
--- a/src/ebonystile/core/calls/call.py
+++ b/src/ebonystile/core/calls/call.py
@@ -149,7 +149,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Send whatever is due and end requests past their deadline."""
+        """Send the messages that are due and end requests past their deadline."""
         if self.closed:
             if self.close_attempts_left and self.close_at <= now:
                 self.send_close(now)
--- a/src/ebonystile/core/calls/ledger.py
+++ b/src/ebonystile/core/calls/ledger.py
@@ -1,8 +1,9 @@
 """Record every request that a sidecar may have run, so that none runs twice.
 
 A request is recorded before it is sent to the upstream, and its record is kept until a margin
-after its deadline. Nothing runs past its deadline, so a later copy cannot start a second run. When
-the ledger is full, new requests are refused; records are never dropped early.
+after its deadline. No request starts after its deadline, so a copy that arrives once the record has
+been dropped cannot run. When the ledger is full, new requests are refused; records are never
+dropped early.
 """
 
 import dataclasses
--- a/src/ebonystile/core/calls/limits.py
+++ b/src/ebonystile/core/calls/limits.py
@@ -137,8 +137,8 @@
 class Limiter:
     """The slots and the queue of one upstream.
 
-    Every admitted request is removed by exactly one of `finish`, `cancel`, `withdraw`, `promote`,
-    `expire` or `refuse_queued`; a request that none of them removes keeps its slot.
+    Every admitted request is removed by exactly one of `finish`, `cancel`, `withdraw`, `expire` or
+    `refuse_queued`; a request that none of them removes keeps its slot. `promote` calls `expire`.
     """
 
     def __init__(self, limits: Limits):
@@ -154,7 +154,7 @@
 
     @property
     def free_slots(self) -> int:
-        """Return how many requests may start now."""
+        """Return how many requests may start now; negative after a reduction of the concurrency."""
         return max(1, int(self.concurrency)) - len(self.running)
 
     def admit(
--- a/src/ebonystile/core/control/gossip.py
+++ b/src/ebonystile/core/control/gossip.py
@@ -1,12 +1,12 @@
 """Distribute the configuration by gossip: `decide(state, event, now)` returns effects.
 
-A few watchers in each zone read the platform; all other processes learn changes from peers. Each
-message between processes carries the sender's revisions, and a process that is behind pulls from
-one that is ahead. A change is pushed at once to a few random peers, and each process exchanges
-revisions with a random peer about once a second, so that a change reaches all processes in a number
-of rounds that grows with the logarithm of the fleet (Demers et al., "Epidemic algorithms for
-replicated database maintenance", 1987). The module uses no clock, socket, thread or global
-randomness.
+A few watchers in each zone read the platform; all other processes get changes from peers. Each
+gossip message carries the sender's revisions, and a process that is behind pulls from one that is
+ahead. A change is pushed at once to a few random balancers. Each balancer also exchanges revisions
+with a random peer about once a second, and each sidecar less often. So a change reaches all
+processes in a number of rounds that grows with the logarithm of the fleet (Demers et al., "Epidemic
+algorithms for replicated database maintenance", 1987). The module uses no clock, socket, thread or
+global randomness.
 """
 
 import dataclasses
--- a/src/ebonystile/core/control/membership.py
+++ b/src/ebonystile/core/control/membership.py
@@ -4,8 +4,8 @@
 consistent Infection-style Process Group Membership Protocol", DSN 2002): each period one random
 peer is probed; one that does not answer is probed through other peers, then suspected; it refutes
 the suspicion by a higher generation. Membership updates are piggybacked on other messages, each a
-bounded number of times. Membership never removes an upstream from routing: across a partition all
-peers on the other side look dead, so the view keeps an upstream until the list drops it.
+bounded number of times. Membership never removes a listed upstream from routing: across a partition
+all peers on the other side look dead, so the view keeps such an upstream until the list drops it.
 """
 
 import collections
--- a/src/ebonystile/core/control/probing.py
+++ b/src/ebonystile/core/control/probing.py
@@ -45,7 +45,7 @@
 
 
 def probe_random(state: gossip_state.GossipState, now: int) -> None:
-    """Send a gossip message to one random peer and ask for one back."""
+    """Send a gossip message to one random peer and request a reply."""
     name = choose_peer(state)
     if name is None:
         if state.seeds:
@@ -75,7 +75,10 @@
 
 
 def send_probe(state: gossip_state.GossipState, address: view.Address, name: str, now: int) -> int:
-    """Send a message that asks for one back; a peer with a `name` is suspected if none comes."""
+    """Send a gossip message that requests a reply; a peer with a `name` must send one in time.
+
+    Without a reply it is probed indirectly, and then suspected. Return the nonce of the probe.
+    """
     nonce = state.new_nonce()
     if name:
         state.probes[nonce] = gossip_state.Probe(name, now + state.limits.answer_timeout_ms)
@@ -144,7 +147,7 @@
 def on_gossip(
     state: gossip_state.GossipState, address: view.Address, message: control.Gossip, now: int
 ) -> None:
-    """Apply a peer's statements on itself and others, and answer if it asks for a message."""
+    """Apply a peer's statements on itself and others, and reply if it requests that."""
     sender = control.unpack_statement(message.sender)
     items = [control.unpack_statement(item) for item in message.updates]
     own_before = state.membership.own
@@ -173,7 +176,7 @@
     sender: membership.Statement,
     items: list[membership.Statement],
 ) -> None:
-    """End the probes that this message answers, and relay it to a process that asked for one."""
+    """End the probes that this message answers; relay the answer to an indirect probe."""
     state.probes.pop(message.answered_nonce, None)
     alive = {item.name for item in items if item.state < membership.MemberState.SUSPECT}
     alive.add(sender.name)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
 
 
 def test_idle_flow_waits_for_an_upstream_that_starts_a_minute_later():
-    """A flow with heartbeats must be kept for a successor, not dropped and opened anew."""
+    """A flow with heartbeats must be kept for a successor, not dropped and reopened."""
     wire = wires.make_service(count=1)
     caller = wire.add_caller()
     assert wire.run(2_000, lambda: caller.token)
