--- a/src/ebonystile/core/calls/siblings.py
+++ b/src/ebonystile/core/calls/siblings.py
@@ -63,9 +63,9 @@
     restarts.
     """
     balance = state.balance
-    if event.in_slow_start and not balance.is_cold:
+    if event.in_slow_start and not balance.in_slow_start:
         balance.ramp = load.Ramp(now, balance.policy.ramp_ms)
-    balance.is_cold = event.in_slow_start
+    balance.in_slow_start = event.in_slow_start
     if not balance.suspicion.is_suspected(state.name):
         if not event.ok:
             record_result(state, False, now)
--- a/src/ebonystile/core/placing/balance.py
+++ b/src/ebonystile/core/placing/balance.py
@@ -52,11 +52,11 @@
         self.idle_flows = load.IdleFlows()
         self.reported_load = load.ReportedLoad(policy.reported_load_ttl_ms)
         self.ramp = load.Ramp(now, policy.ramp_ms)
-        self.is_cold = False
+        self.in_slow_start = False
         self.suspicion = suspicion.Suspicion(policy.suspicion_rules)
 
     def ramp_share(self, name: str, now: int) -> int:
-        """Return the upstream's share of its weight after a start, a cold phase or a suspicion."""
+        """Return the upstream's share of its weight after a start, a slow start or a suspicion."""
         returned = self.suspicion.ramp_share(name, now, self.policy.ramp_ms)
         return min(self.ramp.share_at(now), returned)
 
