--- a/standins/demo.py
+++ b/standins/demo.py
@@ -51,7 +51,7 @@
         self.began = time.monotonic()
         self.replaced: collections.Counter[str] = collections.Counter()
 
-    def say(self, text: str) -> None:
+    def log_progress(self, text: str) -> None:
         """Print progress."""
         print(f"{time.monotonic() - self.began:6.1f} s  {text}", file=sys.stderr, flush=True)
 
@@ -62,10 +62,10 @@
         time.sleep(workload.ARRIVAL_SECONDS)
         evening = self.measure(STEADY_SECONDS)
         self.replace_all()
-        self.say("callers continue after the last replacement")
+        self.log_progress("callers continue after the last replacement")
         morning = self.measure(STEADY_SECONDS)
         records = self.stop_users()
-        self.say("stopping all processes and collecting the run counts of the upstreams")
+        self.log_progress("stopping all processes and collecting the run counts of the upstreams")
         self.fleet.stop_all()
         return self.figures(records, evening, morning)
 
@@ -75,7 +75,7 @@
 
     def start_system(self) -> None:
         """Start platform, balancers, upstreams and sidecars."""
-        self.say("starting platform, balancers, upstreams and sidecars")
+        self.log_progress("starting platform, balancers, upstreams and sidecars")
         self.fleet.publish_services(self.services)
         for number in range(BALANCERS):
             zones = fleet.NORRLAND + fleet.PORT_LOUIS
@@ -93,7 +93,7 @@
             ]
             for future in started:
                 future.result()
-        self.say(f"{len(self.fleet.members)} upstreams with sidecars are up")
+        self.log_progress(f"{len(self.fleet.members)} upstreams with sidecars are up")
 
     def start_users(self) -> None:
         """Start the callers and send them the addresses of the balancers."""
@@ -105,13 +105,13 @@
             options = ("--service", service.name, *USERS[service.name], *fixed)
             users = self.children.start(f"users-{service.name}", "standins.workload", *options)
             self.users.append(users)
-        self.tell_fabric()
-        self.say("callers started: feeds, reports, demands, uploads")
+        self.update_callers()
+        self.log_progress("callers started: feeds, reports, demands, uploads")
 
-    def tell_fabric(self) -> None:
+    def update_callers(self) -> None:
         """Send the current addresses of the balancers to the callers."""
         for users in self.users:
-            users.tell(self.fleet.system.addresses())
+            users.send_line(self.fleet.system.addresses())
 
     def measure(self, seconds: float) -> dict[str, float]:
         """Return the imbalance of slot time in each service over the next `seconds`."""
@@ -132,7 +132,7 @@
 
     def replace_all(self) -> None:
         """Replace all upstreams, one at a time in each service, and all balancers concurrently."""
-        self.say("replacing every upstream and every balancer")
+        self.log_progress("replacing every upstream and every balancer")
         pool = concurrent.futures.ThreadPoolExecutor(len(self.services) + 1)
         tasks = [pool.submit(self.replace_upstreams, service) for service in self.services]
         tasks.append(pool.submit(self.replace_balancers))
@@ -152,22 +152,22 @@
             if self.fleet.faults:
                 return
             self.replaced["upstream"] += 1
-            self.say(f"replaced upstream {name}")
+            self.log_progress(f"replaced upstream {name}")
 
     def replace_balancers(self) -> None:
         """Replace every balancer by a new one in the same zone."""
         for balancer in list(self.fleet.system.balancers.values()):
             time.sleep(BALANCER_SECONDS)
             self.fleet.system.start_balancer(f"{balancer.name}-new", balancer.zone)
-            self.tell_fabric()
-            self.fleet.remove_balancer(balancer, self.tell_fabric)
+            self.update_callers()
+            self.fleet.remove_balancer(balancer, self.update_callers)
             self.replaced["balancer"] += 1
-            self.say(f"replaced balancer {balancer.name}")
+            self.log_progress(f"replaced balancer {balancer.name}")
 
     def stop_users(self) -> list[dict]:
         """Let the callers finish their requests and return their records."""
         for users in self.users:
-            users.tell("stop")
+            users.send_line("stop")
         records = []
         for users in self.users:
             status = users.wait(RECORD_SECONDS)
@@ -184,7 +184,7 @@
         """Return the results that the demo prints."""
         judged = verdict.judge(records, self.fleet.counts)
         for fault in (*judged.faults[:20], *self.fleet.faults):
-            self.say(f"FAULT {fault}")
+            self.log_progress(f"FAULT {fault}")
         fields = dataclasses.asdict(judged)
         del fields["faults"]
         return {
--- a/standins/ends.py
+++ b/standins/ends.py
@@ -13,10 +13,10 @@
 FIRST_TRIES_MS = (0, 200, 600)
 """When a caller sends the opening packet and its copies, from the start of the flow."""
 
-OPEN_LIMIT_MS = 1_400
+OPEN_TIMEOUT_MS = 1_400
 """How long a caller tries to open a flow."""
 
-RESEND_MS, RESEND_MOST_MS = 200, 1_600
+RESEND_MS, MAX_RESEND_MS = 200, 1_600
 """First and maximum interval between copies of a packet."""
 
 SEQUENCE_MODULUS = 1 << 32
@@ -173,20 +173,20 @@
         if not self.open:
             return self.open_again(caller, route, now)
         if self.waiting is None:
-            self.next_at = now + RESEND_MOST_MS
+            self.next_at = now + MAX_RESEND_MS
             return []
         self.next_at = now + self.interval
-        self.interval = min(RESEND_MOST_MS, 2 * self.interval)
+        self.interval = min(MAX_RESEND_MS, 2 * self.interval)
         return [pack(caller, route, packets.ACK, self.sequence, self.acknowledged, self.waiting)]
 
     def open_again(self, caller: bytes, route: bytes, now: int) -> list[bytes]:
         """Return the next copy of the opening packet, or nothing after the timeout."""
-        if now >= self.started_at + OPEN_LIMIT_MS:
+        if now >= self.started_at + OPEN_TIMEOUT_MS:
             self.over = True
             return []
         copy = self.tries
         self.tries += 1
-        times = (*FIRST_TRIES_MS, OPEN_LIMIT_MS)
+        times = (*FIRST_TRIES_MS, OPEN_TIMEOUT_MS)
         self.next_at = self.started_at + times[self.tries]
         return [pack(caller, route, packets.SYN, self.sequence - 1, copy)]
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -105,12 +105,12 @@
         del self.members[sidecar.name]
 
     def remove_balancer(
-        self, balancer: system.Balancer, tell_fabric: typing.Callable[[], None]
+        self, balancer: system.Balancer, update_callers: typing.Callable[[], None]
     ) -> None:
         """Remove a balancer; callers stop sending to it first, so that no packet is lost."""
         del self.system.balancers[balancer.name]
         self.system.enlist(balancer.name, "balancer", balancer.port, balancer.zone, "leaving")
-        tell_fabric()
+        update_callers()
         time.sleep(FABRIC_SECONDS)
         self.stop(balancer.child)
         self.system.enlist(balancer.name, "balancer", balancer.port, balancer.zone, "gone")
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -15,10 +15,10 @@
 
 from standins import history, web
 
-MAX_VALUE = 1 << 20
+MAX_VALUE_BYTES = 1 << 20
 """Largest value in bytes."""
 
-PATIENCE_MS = 2000
+STOP_TIMEOUT_MS = 2000
 """How long to wait for calls in progress after SIGTERM."""
 
 MODES = ("up", "down", "stale", "slow", "older")
@@ -102,7 +102,7 @@
                 self.waiting -= 1
             if self.mode.mode == "down":
                 return self.refuse()
-            page = log.page(after, self.ceiling(kind, web.now_ms(), older), MAX_VALUE)
+            page = log.page(after, self.ceiling(kind, web.now_ms(), older), MAX_VALUE_BYTES)
         fields = {"revision": page.revision, "more": page.more}
         if kind == "values":
             shown = [
@@ -143,7 +143,7 @@
         change = {
             "standin/values": self.put_values,
             "standin/instances": self.put_instances,
-            "standin/mode": self.change_mode,
+            "standin/mode": self.set_mode,
         }.get(query.path)
         with self.condition:
             if query.path == "standin/calls":
@@ -160,7 +160,7 @@
         """Publish one `{"key", "value"}` or a list of them, in order."""
         entries = document if isinstance(document, list) else [document]
         for entry in entries:
-            if len(json.dumps(entry["value"])) > MAX_VALUE:
+            if len(json.dumps(entry["value"])) > MAX_VALUE_BYTES:
                 return web.json_answer({"error": "value too large"}, 413)
         for entry in entries:
             self.values.put(entry["key"], entry["value"], web.now_ms())
@@ -172,7 +172,7 @@
             self.instances.put(entry["name"], entry, web.now_ms())
         return web.json_answer({"revision": self.instances.revision})
 
-    def change_mode(self, document: typing.Any) -> web.Answer:
+    def set_mode(self, document: typing.Any) -> web.Answer:
         """Set the mode; stale and older freeze the current revision, or the one given."""
         self.mode = Mode(**document)
         self.held = {"values": self.values.revision, "instances": self.instances.revision}
@@ -194,7 +194,7 @@
     parser.add_argument("--seed", type=int, default=0, help="seed that picks the older responses")
     options = parser.parse_args(arguments)
     app = Platform(options.seed)
-    web.serve(web.Server(options.port, app), app.stop, PATIENCE_MS)
+    web.serve(web.Server(options.port, app), app.stop, STOP_TIMEOUT_MS)
     return 0
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -56,7 +56,7 @@
                 self.ready.put(line)
         self.ready.put(None)
 
-    def tell(self, document: typing.Any) -> None:
+    def send_line(self, document: typing.Any) -> None:
         """Write a JSON document as one line to the child's standard input."""
         try:
             self.popen.stdin.write(json.dumps(document) + "\n")
--- a/standins/reports.py
+++ b/standins/reports.py
@@ -19,21 +19,21 @@
         self.lie: Report | None = None
         self.history: list[tuple[int, Report]] = []
 
-    def tell(self, now: int, truth: Report) -> Report:
+    def report(self, now: int, truth: Report) -> Report:
         """Return the report given at `now`, where `truth` is the correct one."""
         self.history.append((now, truth))
         del self.history[: -self.KEPT]
-        told = self.past(now)
-        return {**told, **(self.lie or {})}
+        report = self.delayed(now)
+        return {**report, **(self.lie or {})}
 
-    def past(self, now: int) -> Report:
+    def delayed(self, now: int) -> Report:
         """Return the newest stored report that is at least `lag_ms` old."""
         if self.frozen:
             return self.history[0][1]
         old = [report for time, report in self.history if time <= now - self.lag_ms]
         return old[-1] if old else self.history[0][1]
 
-    def change(self, lag_ms: int, frozen: bool, lie: Report | None) -> None:
+    def set_faults(self, lag_ms: int, frozen: bool, lie: Report | None) -> None:
         """Set the injected faults."""
         if frozen and not self.frozen:
             del self.history[:-1]
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -70,11 +70,11 @@
 
     def await_slot(self, job: Job) -> Outcome | None:
         """Wait in the queue; return the outcome if the job may not start, else None."""
-        if self.draining or self.full():
+        if self.draining or self.is_full():
             return Outcome.SHED
         self.waiting.append(job)
         try:
-            while not (job.cancelled or self.draining or self.next_is(job)):
+            while not (job.cancelled or self.draining or self.is_next(job)):
                 left = job.deadline - web.now_ms()
                 if left <= 0:
                     return Outcome.LATE
@@ -88,12 +88,12 @@
             self.waiting.remove(job)
             self.condition.notify_all()
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether all slots and the queue are full."""
         ahead = len(self.running) + len(self.waiting)
         return ahead >= self.slots + self.queue
 
-    def next_is(self, job: Job) -> bool:
+    def is_next(self, job: Job) -> bool:
         """Return whether a slot is free and the job is first in the queue."""
         return len(self.running) < self.slots and self.waiting[0] is job
 
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -12,7 +12,7 @@
 
 from standins import answers, reports, slots, web
 
-PATIENCE_MS = 60_000
+STOP_TIMEOUT_MS = 60_000
 """How long to wait for running requests after SIGTERM."""
 
 MAX_EVENTS = 1000
@@ -40,14 +40,14 @@
     def __post_init__(self) -> None:
         self.source = random.Random(self.seed)
 
-    def cold(self, now: int) -> bool:
+    def in_slow_start(self, now: int) -> bool:
         """Return whether the upstream is still in slow start."""
         return now < self.started + self.cold_ms or self.served < self.cold_requests
 
     def draw(self, now: int) -> int:
         """Return the service time of the next request in milliseconds."""
         with self.lock:
-            factor = self.cold_factor if self.cold(now) else 1.0
+            factor = self.cold_factor if self.in_slow_start(now) else 1.0
             self.served += 1
             return round(self.service_ms * factor * self.source.lognormvariate(0, self.spread))
 
@@ -95,11 +95,11 @@
             ("POST", "requests"): self.run,
             ("DELETE", "requests"): self.cancel,
             ("GET", "feeds"): self.events,
-            ("GET", "health"): self.tell_health,
-            ("GET", "load"): self.tell_load,
+            ("GET", "health"): self.get_health,
+            ("GET", "load"): self.get_load,
             ("POST", "drain"): self.drain,
-            ("GET", "standin"): self.tell_runs,
-            ("POST", "standin"): self.change_faults,
+            ("GET", "standin"): self.get_runs,
+            ("POST", "standin"): self.set_faults,
         }
 
     def run(self, query: web.Query, path: str) -> web.Answer:
@@ -158,14 +158,14 @@
         events = [[n, feed.event(path, n)] for n in range(after + 1, last + 1)]
         return web.Answer(200, cbor2.dumps(events), "application/cbor")
 
-    def tell_health(self, query: web.Query, rest: str) -> web.Answer:
+    def get_health(self, query: web.Query, rest: str) -> web.Answer:
         """Return the health report, altered by the injected faults."""
         now = web.now_ms()
         draining = self.slots.draining
-        truth = {"ok": True, "draining": draining, "cold": self.pace.cold(now)}
-        return web.json_answer(self.health.tell(now, truth))
+        truth = {"ok": True, "draining": draining, "cold": self.pace.in_slow_start(now)}
+        return web.json_answer(self.health.report(now, truth))
 
-    def tell_load(self, query: web.Query, rest: str) -> web.Answer:
+    def get_load(self, query: web.Query, rest: str) -> web.Answer:
         """Return the load report, altered by the injected faults."""
         truth = {
             "running": len(self.slots.running),
@@ -174,7 +174,7 @@
             "connections": self.server.connections if self.server else 0,
             "connection_limit": self.connection_limit,
         }
-        return web.json_answer(self.load.tell(web.now_ms(), truth))
+        return web.json_answer(self.load.report(web.now_ms(), truth))
 
     def drain(self, query: web.Query, rest: str) -> web.Answer:
         """Start draining."""
@@ -193,19 +193,19 @@
                 "busy_ms": self.slots.busy_ms,
             }
 
-    def tell_runs(self, query: web.Query, rest: str) -> web.Answer:
+    def get_runs(self, query: web.Query, rest: str) -> web.Answer:
         """Return the run counts."""
         return web.json_answer(self.counts())
 
-    def change_faults(self, query: web.Query, rest: str) -> web.Answer:
+    def set_faults(self, query: web.Query, rest: str) -> web.Answer:
         """Set the injected faults; those not given are cleared."""
         faults = query.json()
-        self.health.change(
+        self.health.set_faults(
             faults.get("health_lag_ms", 0),
             faults.get("freeze_health", False),
             faults.get("lie_health"),
         )
-        self.load.change(
+        self.load.set_faults(
             faults.get("load_lag_ms", 0), faults.get("freeze_load", False), faults.get("lie_load")
         )
         self.pace.service_ms = faults.get("service_ms", self.pace.service_ms)
@@ -247,7 +247,7 @@
     options = make_parser().parse_args(arguments)
     app = Upstream(options)
     app.server = web.Server(options.port, app)
-    finished = web.serve(app.server, app.stop, PATIENCE_MS)
+    finished = web.serve(app.server, app.stop, STOP_TIMEOUT_MS)
     print(f"counts {json.dumps(app.counts())}", flush=True)
     return 0 if finished else 1
 
--- a/standins/web.py
+++ b/standins/web.py
@@ -11,7 +11,7 @@
 import typing
 import urllib.parse
 
-MAX_BODY = 32 << 20
+MAX_BODY_BYTES = 32 << 20
 """Maximum size of a request body."""
 
 
@@ -77,7 +77,7 @@
             length = int(self.headers.get("Content-Length", "0"))
         except ValueError:
             length = -1
-        if not 0 <= length <= MAX_BODY or "Transfer-Encoding" in self.headers:
+        if not 0 <= length <= MAX_BODY_BYTES or "Transfer-Encoding" in self.headers:
             self.close_connection = True
             headers = {"X-Not-Run": "1"}
             self.write(Answer(413, b'{"error": "body length"}', headers=headers))
@@ -142,7 +142,7 @@
             self.count -= 1
             self.condition.notify_all()
 
-    def wait_none(self, seconds: float) -> bool:
+    def wait_idle(self, seconds: float) -> bool:
         """Wait until no request is in progress; return False on timeout."""
         with self.condition:
             return self.condition.wait_for(lambda: self.count == 0, seconds)
@@ -186,11 +186,11 @@
     parser.add_argument("--port", type=int, default=0, help="TCP port; 0 picks a free one")
 
 
-def serve(server: Server, on_stop: typing.Callable[[], None], patience_ms: int) -> bool:
+def serve(server: Server, on_stop: typing.Callable[[], None], timeout_ms: int) -> bool:
     """Serve until SIGTERM or SIGINT, then let requests in progress finish.
 
     Print `ready port=...` once connections are accepted. Return whether all requests finished
-    in time: `patience_ms` before the server stops listening, and again after it.
+    in time: `timeout_ms` before the server stops listening, and again after it.
     """
     signalled = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -200,8 +200,8 @@
     signalled.wait()
     server.stopping.set()
     on_stop()
-    finished = server.exchanges.wait_none(patience_ms / 1000)
+    finished = server.exchanges.wait_idle(timeout_ms / 1000)
     server.shutdown()
-    finished = server.exchanges.wait_none(patience_ms / 1000) and finished
+    finished = server.exchanges.wait_idle(timeout_ms / 1000) and finished
     server.server_close()
     return finished
--- a/tests/carrying/test_overloaded.py
+++ b/tests/carrying/test_overloaded.py
@@ -116,4 +116,4 @@
     scene.run(opening.MAX_DEFER_MS)
     steps = opening.MAX_DEFER_MS / opening.DEFER_STEP_MS
     assert len(scene.sent) < 100 * 4 * 2 * steps
-    assert ends.OPEN_LIMIT_MS > opening.MAX_DEFER_MS
+    assert ends.OPEN_TIMEOUT_MS > opening.MAX_DEFER_MS
--- a/tests/standins/test_upstream.py
+++ b/tests/standins/test_upstream.py
@@ -172,10 +172,10 @@
 )
 def test_reports_lag_and_freeze(lag, frozen, expected):
     reporter = reports.Reporter()
-    reporter.tell(0, {"n": 0})
-    reporter.change(lag, frozen, None)
-    told = [reporter.tell(100 * n, {"n": n})["n"] for n in range(4)]
-    assert told == expected
+    reporter.report(0, {"n": 0})
+    reporter.set_faults(lag, frozen, None)
+    given = [reporter.report(100 * n, {"n": n})["n"] for n in range(4)]
+    assert given == expected
 
 
 def test_outcomes_tell_what_was_started():
